--- a/crates/rehearse/src/lib.rs
+++ b/crates/rehearse/src/lib.rs
@@ -1,6 +1,5 @@
-//! Rehearsals of bad mornings: a fleet of the real heads' decisions with stand-in boxes, a registry, a
-//! network and
-//! clients, in one deterministic world or on loopback sockets, under a script of what strikes when.
+//! Rehearsals of incidents: a fleet of the real heads' decisions with stand-in backends, a registry, a network and
+//! clients, in one deterministic simulator or on loopback sockets, under a script of faults; and scale runs.
 
 pub mod auditor;
 pub mod draw;
@@ -9,6 +8,7 @@
 pub mod fleet;
 pub mod model;
 pub mod report;
+pub mod scale;
 pub mod scenario;
 pub mod script;
 pub mod sockets;
--- /dev/null
+++ b/crates/rehearse/src/scale/mod.rs
@@ -0,0 +1,3 @@
+//! Scale runs: hollow heads beside real ones on loopback, and what each role costs at growing sizes.
+
+pub mod results;
