--- a/crates/fleet/src/greeting.rs
+++ b/crates/fleet/src/greeting.rs
@@ -1,6 +1,6 @@
 //! What two heads say first on a connection, and whether they go on.
 
-use crate::memory::{Life, Mark};
+use crate::watermark::{Incarnation, Watermark};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
@@ -23,11 +23,11 @@
     pub zone: Option<String>,
     /// Where others call it, as it knows.
     pub address: String,
-    /// Its store's life.
-    pub life: Life,
-    /// How far it was when this life began.
-    pub woke: Mark,
-    /// The origin of what it holds: a digest of the first keepers' stores, `None` while it holds nothing.
+    /// Its store's incarnation.
+    pub incarnation: Incarnation,
+    /// How far it was when this incarnation began.
+    pub initial_watermark: Watermark,
+    /// The origin of what it holds: a digest of the first voters' stores, `None` while it holds nothing.
     pub origin: Option<u64>,
 }
 
@@ -43,7 +43,7 @@
     /// It has this head's name, and is another store.
     Name,
     /// It has forgotten what it acknowledged: an older copy of its disk.
-    Older,
+    RolledBack,
 }
 
 impl fmt::Display for Refusal {
@@ -53,14 +53,14 @@
             Refusal::Secret => "wrong secret",
             Refusal::Origin => "holds the state of another fleet of this name",
             Refusal::Name => "two heads have this name",
-            Refusal::Older => "an older copy of its disk, and has forgotten what it acknowledged",
+            Refusal::RolledBack => "an older copy of its disk, and has forgotten what it acknowledged",
         })
     }
 }
 
 /// Whether a head goes on with one that said this.
 pub fn admit(own: &Greeting, theirs: &Greeting) -> Result<(), Refusal> {
-    if !same(own.secret.as_bytes(), theirs.secret.as_bytes()) {
+    if !secrets_match(own.secret.as_bytes(), theirs.secret.as_bytes()) {
         return Err(Refusal::Secret);
     }
     if own.fleet != theirs.fleet {
@@ -78,7 +78,7 @@
 }
 
 /// Whether two secrets are the same, in a time that tells nothing of where they differ.
-pub fn same(a: &[u8], b: &[u8]) -> bool {
+pub fn secrets_match(a: &[u8], b: &[u8]) -> bool {
     a.len() == b.len() && a.iter().zip(b).fold(0, |differ, (a, b)| differ | (a ^ b)) == 0
 }
 
@@ -104,8 +104,8 @@
             store: Some(1),
             zone: None,
             address: String::new(),
-            life: Life { count: 4, birth: 7 },
-            woke: Mark::default(),
+            incarnation: Incarnation { count: 4, nonce: 7 },
+            initial_watermark: Watermark::default(),
             origin: Some(9),
         };
         let other = Greeting { head: "h2".into(), store: Some(2), ..own.clone() };
--- a/crates/fleet/src/record.rs
+++ b/crates/fleet/src/record.rs
@@ -8,17 +8,17 @@
 use std::fmt;
 
 /// Why a value cannot be written down.
-pub use postcard::Error as Unwritable;
+pub use postcard::Error as EncodeError;
 
 /// The format that this program writes. It reads no other.
-pub const FORMAT: u8 = 2;
+pub const FORMAT_VERSION: u8 = 2;
 /// Bytes of a record before its body.
-const HEAD: usize = 6;
+const HEADER_BYTES: usize = 6;
 
 /// What a record is of; one read as another kind is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
-pub enum Kind {
+pub enum RecordType {
     /// Who holds a store.
     Identity = 1,
     /// A vote in an election.
@@ -38,7 +38,7 @@
     /// The answer to a call.
     Reply = 9,
     /// What is remembered of other stores.
-    Memory = 10,
+    Watermarks = 10,
     /// What a follower holds.
     View = 11,
     /// A backup.
@@ -47,65 +47,67 @@
 
 /// Why a record cannot be read.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Spoilt {
+pub enum CorruptRecord {
     /// Shorter than any record.
-    Short,
+    Truncated,
     /// The checksum differs: torn or altered.
     Checksum,
     /// Written in this format, which this program does not read.
     Format(u8),
     /// It is of another kind than asked for.
-    Kind(u8),
+    RecordType(u8),
     /// The body is malformed though the checksum holds.
     Body,
 }
 
-impl fmt::Display for Spoilt {
+impl fmt::Display for CorruptRecord {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Spoilt::Short => write!(f, "cut short"),
-            Spoilt::Checksum => write!(f, "checksum differs"),
-            Spoilt::Format(format) => write!(f, "format {format}; this program reads {FORMAT}"),
-            Spoilt::Kind(kind) => write!(f, "a record of kind {kind} stands here"),
-            Spoilt::Body => write!(f, "malformed body"),
+            CorruptRecord::Truncated => write!(f, "cut short"),
+            CorruptRecord::Checksum => write!(f, "checksum differs"),
+            CorruptRecord::Format(format) => {
+                write!(f, "format {format}; this program reads {FORMAT_VERSION}")
+            }
+            CorruptRecord::RecordType(record_type) => write!(f, "a record of kind {record_type} stands here"),
+            CorruptRecord::Body => write!(f, "malformed body"),
         }
     }
 }
 
-impl std::error::Error for Spoilt {}
+impl std::error::Error for CorruptRecord {}
 
-fn checksum(kind: u8, format: u8, body: &[u8]) -> u32 {
+fn checksum(record_type: u8, format: u8, body: &[u8]) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
-    hasher.update(&[kind, format]);
+    hasher.update(&[record_type, format]);
     hasher.update(body);
     hasher.finalize()
 }
 
 /// Writes a value as a record; the error is the serializer's.
-pub fn seal<T: Serialize>(kind: Kind, value: &T) -> Result<Vec<u8>, Unwritable> {
-    let mut record = postcard::to_extend(value, vec![0; HEAD])?;
-    let sum = checksum(kind as u8, FORMAT, &record[HEAD..]);
-    (record[0], record[1]) = (kind as u8, FORMAT);
-    record[2..HEAD].copy_from_slice(&sum.to_le_bytes());
+pub fn seal<T: Serialize>(record_type: RecordType, value: &T) -> Result<Vec<u8>, EncodeError> {
+    let mut record = postcard::to_extend(value, vec![0; HEADER_BYTES])?;
+    let sum = checksum(record_type as u8, FORMAT_VERSION, &record[HEADER_BYTES..]);
+    (record[0], record[1]) = (record_type as u8, FORMAT_VERSION);
+    record[2..HEADER_BYTES].copy_from_slice(&sum.to_le_bytes());
     Ok(record)
 }
 
 /// Reads a record of a kind.
-pub fn open<T: DeserializeOwned>(kind: Kind, record: &[u8]) -> Result<T, Spoilt> {
-    let &[found, format, a, b, c, d, ref body @ ..] = record else { return Err(Spoilt::Short) };
+pub fn open<T: DeserializeOwned>(record_type: RecordType, record: &[u8]) -> Result<T, CorruptRecord> {
+    let &[found, format, a, b, c, d, ref body @ ..] = record else { return Err(CorruptRecord::Truncated) };
     if checksum(found, format, body) != u32::from_le_bytes([a, b, c, d]) {
-        return Err(Spoilt::Checksum);
+        return Err(CorruptRecord::Checksum);
     }
-    if format != FORMAT {
-        return Err(Spoilt::Format(format));
+    if format != FORMAT_VERSION {
+        return Err(CorruptRecord::Format(format));
     }
-    if found != kind as u8 {
-        return Err(Spoilt::Kind(found));
+    if found != record_type as u8 {
+        return Err(CorruptRecord::RecordType(found));
     }
     // Guards against a record read as another type that begins alike.
     match postcard::take_from_bytes(body) {
         Ok((value, [])) => Ok(value),
-        _ => Err(Spoilt::Body),
+        _ => Err(CorruptRecord::Body),
     }
 }
 
@@ -117,25 +119,25 @@
     proptest! {
         #[test]
         fn a_record_with_any_bit_turned_is_refused(text in ".{0,60}", bit in any::<prop::sample::Index>()) {
-            let record = seal(Kind::Entry, &text).expect("a record");
-            prop_assert_eq!(open::<String>(Kind::Entry, &record), Ok(text));
+            let record = seal(RecordType::Entry, &text).expect("a record");
+            prop_assert_eq!(open::<String>(RecordType::Entry, &record), Ok(text));
             let (mut turned, bit) = (record.clone(), bit.index(record.len() * 8));
             turned[bit / 8] ^= 1 << (bit % 8);
-            prop_assert!(open::<String>(Kind::Entry, &turned).is_err());
-            prop_assert!(open::<String>(Kind::Entry, &record[..record.len() - 1]).is_err());
+            prop_assert!(open::<String>(RecordType::Entry, &turned).is_err());
+            prop_assert!(open::<String>(RecordType::Entry, &record[..record.len() - 1]).is_err());
         }
     }
 
     #[test]
     fn a_record_of_another_kind_or_format_is_refused_by_name() {
-        let some = seal(Kind::Position, &Some((1u8, 7u8))).expect("a record");
-        assert_eq!(open::<(u8, u8)>(Kind::Position, &some), Err(Spoilt::Body));
-        let record = seal(Kind::Vote, &7u64).expect("a record");
-        assert_eq!(open::<u64>(Kind::Entry, &record), Err(Spoilt::Kind(2)));
+        let some = seal(RecordType::Position, &Some((1u8, 7u8))).expect("a record");
+        assert_eq!(open::<(u8, u8)>(RecordType::Position, &some), Err(CorruptRecord::Body));
+        let record = seal(RecordType::Vote, &7u64).expect("a record");
+        assert_eq!(open::<u64>(RecordType::Entry, &record), Err(CorruptRecord::RecordType(2)));
         let mut newer = record;
-        newer[1] = FORMAT + 1;
-        let sum = checksum(newer[0], newer[1], &newer[HEAD..]);
-        newer[2..HEAD].copy_from_slice(&sum.to_le_bytes());
-        assert_eq!(open::<u64>(Kind::Vote, &newer), Err(Spoilt::Format(FORMAT + 1)));
+        newer[1] = FORMAT_VERSION + 1;
+        let sum = checksum(newer[0], newer[1], &newer[HEADER_BYTES..]);
+        newer[2..HEADER_BYTES].copy_from_slice(&sum.to_le_bytes());
+        assert_eq!(open::<u64>(RecordType::Vote, &newer), Err(CorruptRecord::Format(FORMAT_VERSION + 1)));
     }
 }
--- a/crates/fleet/src/state.rs
+++ b/crates/fleet/src/state.rs
@@ -1,25 +1,25 @@
-//! What the fleet holds, and what a change does to it. Every keeper applies the same changes in the same order
+//! What the fleet holds, and what a change does to it. Every voter applies the same changes in the same order
 //! and so holds the same state; nothing here depends on a head's own settings, clock or chance.
 
 use crate::greeting::StoreId;
-use crate::view::{Fields, Item, Name, Rules, Thing, View};
+use crate::view::{Fields, Key, Object, Rules, VersionedObject, View};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
 /// Answers to changes that are kept for changes that come again; the oldest go first.
-pub const MOST_ANSWERS: usize = 4096;
+pub const MAX_ANSWERS: usize = 4096;
 /// The most tenants, and the most exports of all tenants together.
-pub const MOST_TENANTS: usize = 10_000;
-/// See [`MOST_TENANTS`].
-pub const MOST_EXPORTS: usize = 20_000;
-/// The most bricks that are banned at all heads.
-pub const MOST_BANS: usize = 4096;
-/// The most heads that may keep.
-pub const MOST_KEEPERS: u8 = 7;
-/// A keeper is never given up sooner, and never later, in milliseconds.
-pub const LOST_AFTER: (u64, u64) = (1000, 7 * 86_400_000);
+pub const MAX_TENANTS: usize = 10_000;
+/// See [`MAX_TENANTS`].
+pub const MAX_EXPORTS: usize = 20_000;
+/// The most backends that are banned at all heads.
+pub const MAX_BANS: usize = 4096;
+/// The most voters.
+pub const MAX_VOTERS: u8 = 7;
+/// Least and longest silence after which a voter is declared dead, in milliseconds.
+pub const DEAD_AFTER_MS: (u64, u64) = (1000, 7 * 86_400_000);
 /// The longest name, in bytes.
-pub const MOST_NAME: usize = 256;
+pub const MAX_NAME: usize = 256;
 
 /// What is to be done.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -52,28 +52,28 @@
         /// The export's name.
         export: String,
     },
-    /// Ban a brick at all heads, or lift the ban.
+    /// Ban a backend at all heads, or lift the ban.
     Ban {
         /// Its name.
-        brick: String,
+        backend: String,
         /// Whether it is banned from now on.
         banned: bool,
     },
-    /// How many heads keep.
-    Keepers(u8),
-    /// After how long a silent keeper is lost, in milliseconds.
-    LostAfter(u64),
-    /// Whether a head, by its name, may keep.
-    MayKeep {
+    /// How many heads vote.
+    SetVoters(u8),
+    /// After how long a silent voter is declared dead, in milliseconds.
+    SetDeadAfter(u64),
+    /// Whether a head, by its name, may be a voter.
+    AllowVoter {
         /// Its name.
         head: String,
         /// Whether it may.
-        may: bool,
+        allowed: bool,
     },
-    /// A keeper's store is given up: another takes its place at once.
-    GiveUp(StoreId),
+    /// Declares a voter's store dead: another takes its place at once.
+    DeclareDead(StoreId),
     /// Puts a backup in the place of an empty state.
-    Restore(Vec<Item>),
+    Restore(Vec<VersionedObject>),
 }
 
 /// A change: a command, and what it is held to.
@@ -132,7 +132,7 @@
         let outcome = self.carry_out(&change).unwrap_or_else(|refused| refused);
         self.order.push_back(change.key.clone());
         self.answers.insert(change.key.clone(), (change, outcome.clone()));
-        while self.order.len() > MOST_ANSWERS {
+        while self.order.len() > MAX_ANSWERS {
             if let Some(oldest) = self.order.pop_front() {
                 self.answers.remove(&oldest);
             }
@@ -147,8 +147,8 @@
     }
 
     fn carry_out(&mut self, change: &Change) -> Result<Outcome, Outcome> {
-        if let Command::Restore(items) = &change.command {
-            return self.restore(items);
+        if let Command::Restore(objects) = &change.command {
+            return self.restore(objects);
         }
         let of_tenant = change.command.tenant();
         if let Some(tenant) = of_tenant {
@@ -158,14 +158,14 @@
         if change.expect.is_some_and(|expected| expected != stands) {
             return Err(Outcome::Stale(stands));
         }
-        let (name, thing, fresh) = self.changed(&change.command)?;
+        let (key, object, fresh) = self.changed(&change.command)?;
         let version = self.view.version + 1;
-        self.view.put(Item { version, name, thing });
+        self.view.put(VersionedObject { version, key, object });
         Ok(Outcome::Done { version, fresh })
     }
 
-    /// What a command makes of which thing, and whether it was not there before.
-    fn changed(&self, command: &Command) -> Result<(Name, Option<Thing>, bool), Outcome> {
+    /// What a command makes of which object, and whether it was not there before.
+    fn changed(&self, command: &Command) -> Result<(Key, Option<Object>, bool), Outcome> {
         let tenant = |name: &str| self.view.tenants.get(name);
         let exports = |name: &str| tenant(name).map(|tenant| tenant.exports.clone());
         Ok(match command {
@@ -173,78 +173,76 @@
                 exports.keys().try_for_each(|export| self.free(name, export))?;
                 let had = tenant(name).map_or(0, |tenant| tenant.exports.len());
                 self.room(name, exports.len().saturating_sub(had))?;
-                (Name::Tenant(name.clone()), Some(Thing::Tenant(exports.clone())), tenant(name).is_none())
+                (Key::Tenant(name.clone()), Some(Object::Tenant(exports.clone())), tenant(name).is_none())
             }
             Command::PutExport { tenant: name, export, fields } => {
                 self.free(name, export)?;
                 let mut all = exports(name).unwrap_or_default();
                 self.room(name, usize::from(!all.contains_key(export)))?;
                 let fresh = all.insert(export.clone(), fields.clone()).is_none();
-                (Name::Tenant(name.clone()), Some(Thing::Tenant(all)), fresh)
+                (Key::Tenant(name.clone()), Some(Object::Tenant(all)), fresh)
             }
             Command::DeleteTenant { tenant: name } => {
                 tenant(name).ok_or_else(|| Outcome::Missing(format!("no tenant {name}")))?;
-                (Name::Tenant(name.clone()), None, false)
+                (Key::Tenant(name.clone()), None, false)
             }
             Command::DeleteExport { tenant: name, export } => {
                 let missing = || Outcome::Missing(format!("no export {export} of tenant {name}"));
                 let mut all = exports(name).ok_or_else(missing)?;
                 all.remove(export).ok_or_else(missing)?;
-                (Name::Tenant(name.clone()), Some(Thing::Tenant(all)), false)
+                (Key::Tenant(name.clone()), Some(Object::Tenant(all)), false)
             }
-            Command::Ban { brick, banned } => {
-                named(brick)?;
-                let is = self.view.bans.contains_key(brick);
+            Command::Ban { backend, banned } => {
+                named(backend)?;
+                let is = self.view.bans.contains_key(backend);
                 if !banned && !is {
-                    return Err(Outcome::Missing(format!("no ban of {brick}")));
+                    return Err(Outcome::Missing(format!("no ban of {backend}")));
                 }
-                if *banned && !is && self.view.bans.len() >= MOST_BANS {
+                if *banned && !is && self.view.bans.len() >= MAX_BANS {
                     return Err(Outcome::Conflict("the fleet holds no more bans".into()));
                 }
-                (Name::Brick(brick.clone()), banned.then_some(Thing::Ban), *banned && !is)
+                (Key::Backend(backend.clone()), banned.then_some(Object::Ban), *banned && !is)
             }
-            _ => (Name::Rules, Some(Thing::Rules(self.ruled(command)?)), false),
+            _ => (Key::Rules, Some(Object::Rules(self.updated_rules(command)?)), false),
         })
     }
 
-    fn ruled(&self, command: &Command) -> Result<Rules, Outcome> {
+    fn updated_rules(&self, command: &Command) -> Result<Rules, Outcome> {
         let mut rules = self.view.rules.clone();
         match command {
-            Command::Keepers(keepers) => {
-                if keepers.is_multiple_of(2) || *keepers > MOST_KEEPERS {
-                    return Err(Outcome::Conflict(format!(
-                        "an odd number keeps, {MOST_KEEPERS} at the most"
-                    )));
+            Command::SetVoters(voters) => {
+                if voters.is_multiple_of(2) || *voters > MAX_VOTERS {
+                    return Err(Outcome::Conflict(format!("an odd number keeps, {MAX_VOTERS} at the most")));
                 }
-                rules.keepers = *keepers;
+                rules.voters = *voters;
             }
-            Command::LostAfter(after) => {
-                if !(LOST_AFTER.0..=LOST_AFTER.1).contains(after) {
-                    let (least, most) = LOST_AFTER;
+            Command::SetDeadAfter(after) => {
+                if !(DEAD_AFTER_MS.0..=DEAD_AFTER_MS.1).contains(after) {
+                    let (least, most) = DEAD_AFTER_MS;
                     return Err(Outcome::Conflict(format!("lost-after is {least} to {most} milliseconds")));
                 }
-                rules.lost_after = *after;
+                rules.dead_after_ms = *after;
             }
-            Command::MayKeep { head, may: true } => drop(rules.unwanted.remove(head)),
-            Command::MayKeep { head, may: false } => {
+            Command::AllowVoter { head, allowed: true } => drop(rules.barred_heads.remove(head)),
+            Command::AllowVoter { head, allowed: false } => {
                 named(head)?;
-                rules.unwanted.insert(head.clone());
+                rules.barred_heads.insert(head.clone());
             }
-            Command::GiveUp(store) => drop(rules.given_up.insert(*store)),
+            Command::DeclareDead(store) => drop(rules.declared_dead.insert(*store)),
             _ => {}
         }
         // Guards against lists without end: numbers of stores that are long gone mean nothing.
-        while rules.given_up.len() > MOST_NAME {
-            rules.given_up.pop_first();
+        while rules.declared_dead.len() > MAX_NAME {
+            rules.declared_dead.pop_first();
         }
-        if rules.unwanted.len() > MOST_NAME {
-            return Err(Outcome::Conflict(format!("at most {MOST_NAME} heads are kept from keeping")));
+        if rules.barred_heads.len() > MAX_NAME {
+            return Err(Outcome::Conflict(format!("at most {MAX_NAME} heads are kept from keeping")));
         }
         Ok(rules)
     }
 
     /// A backup goes into an empty state only: it must not undo what was promised since.
-    fn restore(&mut self, items: &[Item]) -> Result<Outcome, Outcome> {
+    fn restore(&mut self, objects: &[VersionedObject]) -> Result<Outcome, Outcome> {
         if self.view.version > 0 {
             return Err(Outcome::Conflict(format!(
                 "the fleet stands at version {} already",
@@ -252,9 +250,9 @@
             )));
         }
         let mut version = 0;
-        for item in items.iter().filter(|item| item.thing.is_some()) {
+        for object in objects.iter().filter(|object| object.object.is_some()) {
             version += 1;
-            self.view.put(Item { version, ..item.clone() });
+            self.view.put(VersionedObject { version, ..object.clone() });
         }
         Ok(Outcome::Done { version, fresh: true })
     }
@@ -271,8 +269,8 @@
     fn room(&self, tenant: &str, more: usize) -> Result<(), Outcome> {
         let tenants = &self.view.tenants;
         let exports: usize = tenants.values().map(|tenant| tenant.exports.len()).sum();
-        let full = exports + more > MOST_EXPORTS;
-        let full = full || (!tenants.contains_key(tenant) && tenants.len() >= MOST_TENANTS);
+        let full = exports + more > MAX_EXPORTS;
+        let full = full || (!tenants.contains_key(tenant) && tenants.len() >= MAX_TENANTS);
         if full {
             Err(Outcome::Conflict("the fleet holds no more tenants or exports".into()))
         } else {
@@ -293,8 +291,8 @@
 }
 
 fn named(name: &str) -> Result<(), Outcome> {
-    let fits = !name.is_empty() && name.len() <= MOST_NAME && !name.chars().any(char::is_control);
-    if fits { Ok(()) } else { Err(Outcome::Conflict(format!("a name is 1 to {MOST_NAME} bytes of text"))) }
+    let fits = !name.is_empty() && name.len() <= MAX_NAME && !name.chars().any(char::is_control);
+    if fits { Ok(()) } else { Err(Outcome::Conflict(format!("a name is 1 to {MAX_NAME} bytes of text"))) }
 }
 
 #[cfg(test)]
@@ -330,10 +328,10 @@
     #[test]
     fn kept_answers_are_bounded() {
         let mut state = State::default();
-        for i in 0..MOST_ANSWERS + 10 {
+        for i in 0..MAX_ANSWERS + 10 {
             state.apply(put(&format!("k{i}"), "horvat", "press", "3", None));
         }
-        assert_eq!((state.answers.len(), state.order.len()), (MOST_ANSWERS, MOST_ANSWERS));
+        assert_eq!((state.answers.len(), state.order.len()), (MAX_ANSWERS, MAX_ANSWERS));
         assert!(!state.answers.contains_key("k9") && state.answers.contains_key("k10"));
     }
 
@@ -358,10 +356,10 @@
         assert!(matches!(taken, Outcome::Conflict(_)), "{taken:?}");
         assert!(matches!(state.apply(delete("k3", "nobody")), Outcome::Missing(_)));
         assert!(matches!(state.apply(put("k4", "", "x", "3", None)), Outcome::Conflict(_)));
-        assert!(matches!(state.apply(rule("k5", Command::Keepers(4))), Outcome::Conflict(_)));
-        assert!(matches!(state.apply(rule("k6", Command::LostAfter(5))), Outcome::Conflict(_)));
+        assert!(matches!(state.apply(rule("k5", Command::SetVoters(4))), Outcome::Conflict(_)));
+        assert!(matches!(state.apply(rule("k6", Command::SetDeadAfter(5))), Outcome::Conflict(_)));
         assert!(matches!(state.apply(rule("k7", Command::Restore(vec![]))), Outcome::Conflict(_)));
-        let lift = Command::Ban { brick: "s-1".into(), banned: false };
+        let lift = Command::Ban { backend: "s-1".into(), banned: false };
         assert!(matches!(state.apply(rule("k8", lift)), Outcome::Missing(_)));
         assert_eq!(state.view, before);
     }
@@ -372,12 +370,12 @@
         state.apply(put("k1", "horvat", "press", "3", None));
         state.apply(put("k2", "novak", "maps", "4", None));
         state.apply(delete("k3", "horvat"));
-        state.apply(rule("k4", Command::Ban { brick: "s-1".into(), banned: true }));
-        state.apply(rule("k5", Command::Keepers(5)));
+        state.apply(rule("k4", Command::Ban { backend: "s-1".into(), banned: true }));
+        state.apply(rule("k5", Command::SetVoters(5)));
         let mut other = State::default();
-        let items = state.view.items().collect();
+        let objects = state.view.objects().collect();
         assert_eq!(
-            other.apply(rule("r", Command::Restore(items))),
+            other.apply(rule("r", Command::Restore(objects))),
             Outcome::Done { version: 3, fresh: true }
         );
         assert_eq!(other.view.tenants["novak"].exports, state.view.tenants["novak"].exports);
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -1,16 +1,16 @@
 //! What heads read of the state: tenants, bans and rules, each with the version at which it last changed; and how
-//! it goes from head to head, in pieces that can be resumed.
+//! it goes from head to head, in chunks that can be resumed.
 //!
-//! Every change has a version of its own and touches one thing, so a head that holds version `s` needs the things
-//! whose last version is past `s`, in the order of their versions. What was removed stays as a gap with its
-//! version; the oldest gaps go first, and a head that is behind the [floor](View::floor) begins anew.
+//! Every change has a version of its own and touches one object, so a head that holds version `s` needs the objects
+//! whose last version is past `s`, in the order of their versions. What was removed stays as a tombstone with its
+//! version; the oldest tombstones go first, and a head that is behind the [floor](View::floor) begins anew.
 
 use crate::greeting::StoreId;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Gaps that are kept for heads that are behind.
-pub const MOST_GAPS: usize = 4096;
+/// Tombstones that are kept for heads that are behind.
+pub const MAX_TOMBSTONES: usize = 4096;
 
 /// What an export is set up with, in the operator's file's own terms: key and value, `tenant` and `name` left out.
 /// Each head checks them against its own settings.
@@ -28,30 +28,30 @@
 /// What the operators ask of the fleet itself.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rules {
-    /// How many heads keep; 0 for as many as there are.
-    pub keepers: u8,
-    /// A keeper that is silent for so long, in milliseconds, is lost and replaced; 0 for the default.
-    pub lost_after: u64,
-    /// Heads that are not to keep, by name.
-    pub unwanted: BTreeSet<String>,
-    /// Stores that operators have given up.
-    pub given_up: BTreeSet<StoreId>,
+    /// How many heads vote; 0 for as many as there are.
+    pub voters: u8,
+    /// A voter that is silent for so long, in milliseconds, is declared dead and replaced; 0 for the default.
+    pub dead_after_ms: u64,
+    /// Heads that must not vote, by name.
+    pub barred_heads: BTreeSet<String>,
+    /// Stores that operators have declared dead.
+    pub declared_dead: BTreeSet<StoreId>,
 }
 
-/// The name of a thing.
+/// Key of an object.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Name {
+pub enum Key {
     /// A tenant.
     Tenant(String),
-    /// A brick that is banned at all heads.
-    Brick(String),
+    /// A backend that is banned at all heads.
+    Backend(String),
     /// The rules; there is one such thing.
     Rules,
 }
 
-/// A thing as it is.
+/// An object of the replicated state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Thing {
+pub enum Object {
     /// A tenant with its exports.
     Tenant(BTreeMap<String, Fields>),
     /// A ban.
@@ -60,48 +60,48 @@
     Rules(Rules),
 }
 
-/// A thing, or its gap, with the version of its last change.
+/// An object, or its tombstone, with the version of its last change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Item {
+pub struct VersionedObject {
     /// The version.
     pub version: u64,
-    /// Its name.
-    pub name: Name,
-    /// What it is; `None` where it was removed.
-    pub thing: Option<Thing>,
+    /// Its key.
+    pub key: Key,
+    /// The object; `None` where it was removed.
+    pub object: Option<Object>,
 }
 
-impl Item {
+impl VersionedObject {
     /// About how many bytes it takes.
     fn size(&self) -> usize {
-        let name = match &self.name {
-            Name::Tenant(name) | Name::Brick(name) => name.len(),
-            Name::Rules => 0,
+        let name = match &self.key {
+            Key::Tenant(name) | Key::Backend(name) => name.len(),
+            Key::Rules => 0,
         };
         let pairs =
             |fields: &Fields| fields.iter().map(|(key, value)| key.len() + value.len() + 4).sum::<usize>();
-        let thing: usize = match &self.thing {
-            Some(Thing::Tenant(exports)) => {
+        let object: usize = match &self.object {
+            Some(Object::Tenant(exports)) => {
                 exports.iter().map(|(name, fields)| name.len() + 4 + pairs(fields)).sum()
             }
-            Some(Thing::Rules(rules)) => 16 * (rules.unwanted.len() + rules.given_up.len()),
+            Some(Object::Rules(rules)) => 16 * (rules.barred_heads.len() + rules.declared_dead.len()),
             _ => 0,
         };
-        16 + name + thing
+        16 + name + object
     }
 }
 
 /// Some of what a head that is behind lacks.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Piece {
-    /// The things, in the order of their versions.
-    pub items: Vec<Item>,
+pub struct Chunk {
+    /// The objects, in the order of their versions.
+    pub objects: Vec<VersionedObject>,
     /// With these it lacks nothing up to this version.
     pub upto: u64,
-    /// The version of the head that tells; reached when `upto` is.
+    /// The version of the head that serves it; reached when `upto` is.
     pub version: u64,
-    /// Begin anew: this piece is the first of all there is.
-    pub anew: bool,
+    /// Start over: this chunk is the first of all there is.
+    pub restart: bool,
 }
 
 /// What heads read of the state.
@@ -111,159 +111,159 @@
     pub version: u64,
     /// The tenants by name.
     pub tenants: BTreeMap<String, Tenant>,
-    /// Bricks that are banned at all heads, each with the version since when.
+    /// Backends that are banned at all heads, each with the version since when.
     pub bans: BTreeMap<String, u64>,
     /// The rules.
     pub rules: Rules,
-    /// Every thing and gap by the version of its last change.
-    order: BTreeMap<u64, Name>,
-    /// Of every thing and gap, the version of its last change.
-    last: BTreeMap<Name, u64>,
-    gaps: usize,
-    /// Gaps up to this version are forgotten.
+    /// Every object and tombstone by the version of its last change.
+    by_version: BTreeMap<u64, Key>,
+    /// Of every object and tombstone, the version of its last change.
+    versions: BTreeMap<Key, u64>,
+    tombstones: usize,
+    /// Tombstones up to this version are forgotten.
     floor: u64,
 }
 
 impl View {
-    /// Puts an item in its place; its version is the newest there is.
-    pub fn put(&mut self, item: Item) {
-        let Item { version, name, thing } = item;
-        if let Some(before) = self.last.insert(name.clone(), version) {
-            self.order.remove(&before);
-            self.gaps -= usize::from(!self.has(&name));
+    /// Inserts an object; its version is the newest there is.
+    pub fn put(&mut self, object: VersionedObject) {
+        let VersionedObject { version, key, object } = object;
+        if let Some(before) = self.versions.insert(key.clone(), version) {
+            self.by_version.remove(&before);
+            self.tombstones -= usize::from(!self.has(&key));
         }
-        self.order.insert(version, name.clone());
-        self.gaps += usize::from(thing.is_none());
-        match (name, thing) {
-            (Name::Tenant(name), Some(Thing::Tenant(exports))) => {
+        self.by_version.insert(version, key.clone());
+        self.tombstones += usize::from(object.is_none());
+        match (key, object) {
+            (Key::Tenant(name), Some(Object::Tenant(exports))) => {
                 self.tenants.insert(name, Tenant { version, exports });
             }
-            (Name::Brick(name), Some(_)) => drop(self.bans.insert(name, version)),
-            (Name::Rules, Some(Thing::Rules(rules))) => self.rules = rules,
-            (Name::Tenant(name), _) => drop(self.tenants.remove(&name)),
-            (Name::Brick(name), None) => drop(self.bans.remove(&name)),
-            (Name::Rules, _) => self.rules = Rules::default(),
+            (Key::Backend(name), Some(_)) => drop(self.bans.insert(name, version)),
+            (Key::Rules, Some(Object::Rules(rules))) => self.rules = rules,
+            (Key::Tenant(name), _) => drop(self.tenants.remove(&name)),
+            (Key::Backend(name), None) => drop(self.bans.remove(&name)),
+            (Key::Rules, _) => self.rules = Rules::default(),
         }
         self.version = self.version.max(version);
-        self.forget();
+        self.prune_tombstones();
     }
 
-    fn has(&self, name: &Name) -> bool {
-        match name {
-            Name::Tenant(name) => self.tenants.contains_key(name),
-            Name::Brick(name) => self.bans.contains_key(name),
-            Name::Rules => true,
+    fn has(&self, key: &Key) -> bool {
+        match key {
+            Key::Tenant(name) => self.tenants.contains_key(name),
+            Key::Backend(name) => self.bans.contains_key(name),
+            Key::Rules => true,
         }
     }
 
-    /// Guards against gaps without end, where tenants come and go.
-    fn forget(&mut self) {
-        while self.gaps > MOST_GAPS {
-            let oldest = self.order.iter().find(|(_, name)| !self.has(name));
-            let Some((version, name)) = oldest.map(|(version, name)| (*version, name.clone())) else {
+    /// Guards against tombstones without end, where tenants come and go.
+    fn prune_tombstones(&mut self) {
+        while self.tombstones > MAX_TOMBSTONES {
+            let oldest = self.by_version.iter().find(|(_, key)| !self.has(key));
+            let Some((version, key)) = oldest.map(|(version, key)| (*version, key.clone())) else {
                 return;
             };
-            self.order.remove(&version);
-            self.last.remove(&name);
-            (self.floor, self.gaps) = (version, self.gaps - 1);
+            self.by_version.remove(&version);
+            self.versions.remove(&key);
+            (self.floor, self.tombstones) = (version, self.tombstones - 1);
         }
     }
 
-    fn item(&self, version: u64, name: &Name) -> Item {
-        let thing = match name {
-            Name::Tenant(tenant) => self.tenants.get(tenant).map(|t| Thing::Tenant(t.exports.clone())),
-            Name::Brick(brick) => self.bans.get(brick).map(|_| Thing::Ban),
-            Name::Rules => Some(Thing::Rules(self.rules.clone())),
+    fn object(&self, version: u64, key: &Key) -> VersionedObject {
+        let object = match key {
+            Key::Tenant(tenant) => self.tenants.get(tenant).map(|t| Object::Tenant(t.exports.clone())),
+            Key::Backend(backend) => self.bans.get(backend).map(|_| Object::Ban),
+            Key::Rules => Some(Object::Rules(self.rules.clone())),
         };
-        Item { version, name: name.clone(), thing }
+        VersionedObject { version, key: key.clone(), object }
     }
 
-    /// What a head lacks that holds all up to `since` and has begun its gathering at `begun`: about so many bytes
-    /// of it, one thing at the least.
-    pub fn piece(&self, since: u64, begun: u64, most: usize) -> Piece {
-        // A gap that was forgotten before the gathering began does not concern it.
-        let anew = self.floor > since.max(begun);
-        let since = if anew { 0 } else { since };
-        let (mut items, mut size) = (Vec::new(), 0);
-        for (version, name) in self.order.range(since + 1..) {
-            let item = self.item(*version, name);
-            size += item.size();
-            if size > most && !items.is_empty() {
-                let upto = items.last().map_or(since, |item: &Item| item.version);
-                return Piece { items, upto, version: self.version, anew };
+    /// What a head lacks that holds all up to `since` and has begun its transfer at `first_version`: about so many
+    /// bytes of it, one object at the least.
+    pub fn chunk(&self, since: u64, first_version: u64, most: usize) -> Chunk {
+        // A tombstone that was forgotten before the transfer began does not concern it.
+        let restart = self.floor > since.max(first_version);
+        let since = if restart { 0 } else { since };
+        let (mut objects, mut size) = (Vec::new(), 0);
+        for (version, key) in self.by_version.range(since + 1..) {
+            let object = self.object(*version, key);
+            size += object.size();
+            if size > most && !objects.is_empty() {
+                let upto = objects.last().map_or(since, |object: &VersionedObject| object.version);
+                return Chunk { objects, upto, version: self.version, restart };
             }
-            items.push(item);
+            objects.push(object);
         }
-        Piece { items, upto: self.version, version: self.version, anew }
+        Chunk { objects, upto: self.version, version: self.version, restart }
     }
 
-    /// All things and gaps in the order of their versions.
-    pub fn items(&self) -> impl Iterator<Item = Item> + '_ {
-        self.order.iter().map(|(version, name)| self.item(*version, name))
+    /// All objects and tombstones in the order of their versions.
+    pub fn objects(&self) -> impl Iterator<Item = VersionedObject> + '_ {
+        self.by_version.iter().map(|(version, name)| self.object(*version, name))
     }
 
-    /// Whether two heads hold the same, whatever gaps they remember.
-    pub fn same(&self, other: &View) -> bool {
-        let things =
+    /// Whether two heads hold the same, whatever tombstones they remember.
+    pub fn same_contents(&self, other: &View) -> bool {
+        let objects =
             |view: &View| (view.version, view.tenants.clone(), view.bans.clone(), view.rules.clone());
-        things(self) == things(other)
+        objects(self) == objects(other)
     }
 }
 
-/// The teller is behind the one that asks, or behind another that has told before.
+/// The upstream is behind the one that asks, or behind another that has answered before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Behind;
+pub struct UpstreamBehind;
 
 /// Pieces on their way to a whole: nobody sees them before, so that what is read was true at some version.
 #[derive(Clone, Debug, Default)]
-pub struct Gathering {
-    items: Vec<Item>,
+pub struct Transfer {
+    objects: Vec<VersionedObject>,
     /// All up to here is gathered.
     at: u64,
-    /// The version of the head that told the first piece.
-    begun: u64,
-    /// The highest version that any told.
+    /// The version of the head that served the first chunk.
+    first_version: u64,
+    /// The highest version that any upstream had.
     seen: u64,
-    anew: bool,
+    restart: bool,
 }
 
-impl Gathering {
-    /// What to ask for next: `since` and `begun` of [`View::piece`].
-    pub fn ask(&self, view: &View) -> (u64, u64) {
-        if self.begun > 0 { (self.at, self.begun) } else { (view.version, 0) }
+impl Transfer {
+    /// What to ask for next: `since` and `first_version` of [`View::chunk`].
+    pub fn next_request(&self, view: &View) -> (u64, u64) {
+        if self.first_version > 0 { (self.at, self.first_version) } else { (view.version, 0) }
     }
 
-    /// Takes a piece that was told in answer to [`ask`](Gathering::ask); whether the view has moved. An error says
-    /// that the teller is behind and cannot be followed.
-    pub fn take(&mut self, view: &mut View, piece: Piece) -> Result<bool, Behind> {
-        if piece.version < view.version {
+    /// Takes a chunk received in answer to [`next_request`](Transfer::next_request); whether the view has moved. An
+    /// error says that the upstream is behind and cannot be followed.
+    pub fn accept(&mut self, view: &mut View, chunk: Chunk) -> Result<bool, UpstreamBehind> {
+        if chunk.version < view.version {
             // Guards against a reader whose version goes back.
-            return Err(Behind);
+            return Err(UpstreamBehind);
         }
-        if piece.version < self.seen {
-            // Guards against a mixture: what an older head tells does not know what later ones moved.
-            *self = Gathering::default();
-            return Err(Behind);
+        if chunk.version < self.seen {
+            // Guards against a mixture: what an older head serves does not know what later ones moved.
+            *self = Transfer::default();
+            return Err(UpstreamBehind);
         }
-        if piece.anew {
-            *self = Gathering { anew: true, ..Gathering::default() };
+        if chunk.restart {
+            *self = Transfer { restart: true, ..Transfer::default() };
         }
-        if self.begun == 0 {
-            (self.begun, self.at) = (piece.version.max(1), view.version);
+        if self.first_version == 0 {
+            (self.first_version, self.at) = (chunk.version.max(1), view.version);
         }
-        (self.at, self.seen) = (piece.upto, piece.version);
-        self.items.extend(piece.items);
-        if self.at < piece.version {
+        (self.at, self.seen) = (chunk.upto, chunk.version);
+        self.objects.extend(chunk.objects);
+        if self.at < chunk.version {
             return Ok(false);
         }
-        let Gathering { items, anew, begun, .. } = std::mem::take(self);
-        if anew {
-            *view = View { floor: begun, ..View::default() };
+        let Transfer { objects, restart, first_version, .. } = std::mem::take(self);
+        if restart {
+            *view = View { floor: first_version, ..View::default() };
         }
-        let moved = anew || view.version != piece.version;
-        // One that was told again later stands where it stood last.
-        items.into_iter().for_each(|item| view.put(item));
-        view.version = piece.version;
+        let moved = restart || view.version != chunk.version;
+        // One that was sent again later stands where it stood last.
+        objects.into_iter().for_each(|object| view.put(object));
+        view.version = chunk.version;
         Ok(moved)
     }
 }
@@ -273,23 +273,23 @@
     use super::*;
     use proptest::prelude::*;
 
-    fn tenant(version: u64, name: u8, there: bool) -> Item {
+    fn tenant(version: u64, name: u8, there: bool) -> VersionedObject {
         let exports =
             BTreeMap::from([(format!("e{name}"), Fields::from([("shard".into(), version.to_string())]))]);
-        let thing = there.then_some(Thing::Tenant(exports));
-        Item { version, name: Name::Tenant(format!("t{name}")), thing }
+        let object = there.then_some(Object::Tenant(exports));
+        VersionedObject { version, key: Key::Tenant(format!("t{name}")), object }
     }
 
     proptest! {
-        /// Two tellers, one of them behind, change while a head gathers in small pieces: what the head shows is
-        /// always what a teller held at that version.
+        /// Two upstreams, one of them behind, change while a head gathers in small chunks: what the head shows is
+        /// always what an upstream held at that version.
         #[test]
         fn what_is_gathered_was_true_at_its_version(
             steps in prop::collection::vec((0u8..6, any::<bool>(), 0u8..4, any::<bool>()), 1..80)
         ) {
             let (mut first, mut history) = (View::default(), vec![View::default()]);
             let mut second = View::default();
-            let (mut held, mut gathering) = (View::default(), Gathering::default());
+            let (mut held, mut transfer) = (View::default(), Transfer::default());
             for (name, there, polls, other) in steps {
                 let version = first.version + 1;
                 if there || first.tenants.contains_key(&format!("t{name}")) {
@@ -300,12 +300,12 @@
                     second = first.clone();
                 }
                 for poll in 0..polls {
-                    let teller = if poll % 2 == 0 { &first } else { &second };
-                    let (since, begun) = gathering.ask(&held);
+                    let upstream = if poll % 2 == 0 { &first } else { &second };
+                    let (since, first_version) = transfer.next_request(&held);
                     let before = held.version;
-                    let _ = gathering.take(&mut held, teller.piece(since, begun, 40));
+                    let _ = transfer.accept(&mut held, upstream.chunk(since, first_version, 40));
                     prop_assert!(held.version >= before);
-                    prop_assert!(held.same(&history[held.version as usize]), "{:?}", held);
+                    prop_assert!(held.same_contents(&history[held.version as usize]), "{:?}", held);
                 }
             }
         }
@@ -313,39 +313,43 @@
 
     #[test]
     fn a_head_behind_the_forgotten_gaps_begins_anew() {
-        let (mut teller, mut held, mut gathering) = (View::default(), View::default(), Gathering::default());
-        teller.put(tenant(1, 1, true));
-        teller.put(tenant(2, 2, true));
-        let (since, begun) = gathering.ask(&held);
-        assert_eq!(gathering.take(&mut held, teller.piece(since, begun, 1 << 20)), Ok(true));
-        teller.put(tenant(3, 1, false));
-        for round in 0..=MOST_GAPS as u64 {
-            let name = Name::Brick(format!("b{round}"));
-            teller.put(Item { version: 4 + 2 * round, name: name.clone(), thing: Some(Thing::Ban) });
-            teller.put(Item { version: 5 + 2 * round, name, thing: None });
+        let (mut upstream, mut held, mut transfer) = (View::default(), View::default(), Transfer::default());
+        upstream.put(tenant(1, 1, true));
+        upstream.put(tenant(2, 2, true));
+        let (since, first_version) = transfer.next_request(&held);
+        assert_eq!(transfer.accept(&mut held, upstream.chunk(since, first_version, 1 << 20)), Ok(true));
+        upstream.put(tenant(3, 1, false));
+        for round in 0..=MAX_TOMBSTONES as u64 {
+            let key = Key::Backend(format!("b{round}"));
+            upstream.put(VersionedObject {
+                version: 4 + 2 * round,
+                key: key.clone(),
+                object: Some(Object::Ban),
+            });
+            upstream.put(VersionedObject { version: 5 + 2 * round, key, object: None });
         }
-        assert_eq!(teller.gaps, MOST_GAPS);
-        assert!(teller.floor >= 3, "the tenant's gap is forgotten");
+        assert_eq!(upstream.tombstones, MAX_TOMBSTONES);
+        assert!(upstream.floor >= 3, "the tenant's gap is forgotten");
         let mut pieces = 0;
-        while held.version < teller.version {
-            let (since, begun) = gathering.ask(&held);
-            gathering.take(&mut held, teller.piece(since, begun, 4096)).expect("a piece");
+        while held.version < upstream.version {
+            let (since, first_version) = transfer.next_request(&held);
+            transfer.accept(&mut held, upstream.chunk(since, first_version, 4096)).expect("a piece");
             pieces += 1;
         }
-        assert!(pieces > 10 && held.same(&teller), "a removed tenant is still there");
+        assert!(pieces > 10 && held.same_contents(&upstream), "a removed tenant is still there");
     }
 
     #[test]
     fn a_piece_lost_in_the_middle_is_asked_for_again() {
-        let (mut teller, mut held, mut gathering) = (View::default(), View::default(), Gathering::default());
-        (1..=50).for_each(|version| teller.put(tenant(version, version as u8, true)));
+        let (mut upstream, mut held, mut transfer) = (View::default(), View::default(), Transfer::default());
+        (1..=50).for_each(|version| upstream.put(tenant(version, version as u8, true)));
         let mut asked = Vec::new();
         while held.version < 50 {
-            let (since, begun) = gathering.ask(&held);
+            let (since, first_version) = transfer.next_request(&held);
             // Each answer is lost once.
             asked.push(since);
-            gathering.take(&mut held, teller.piece(since, begun, 200)).expect("a piece");
-            assert!(held.version == 0 || held.same(&teller), "half of it was shown");
+            transfer.accept(&mut held, upstream.chunk(since, first_version, 200)).expect("a piece");
+            assert!(held.version == 0 || held.same_contents(&upstream), "half of it was shown");
         }
         assert!(asked.len() > 5 && asked.is_sorted(), "{asked:?}");
     }
--- a/crates/fleet/tests/model.rs
+++ b/crates/fleet/tests/model.rs
@@ -1,14 +1,14 @@
 //! The promise of the store as a model that stateright explores: machines that crash, lose their disks or get older
 //! copies of them back, with this crate's own decisions on who is an older copy ([`Memory`]) and who keeps
 //! ([`repair`]) in it. The consensus round them is reduced to its rules: a vote goes to a log that is no shorter,
-//! once a term; a value is promised once a majority of the keepers holds it in the leader's term.
+//! once a term; a value is promised once a majority of the voters holds it in the leader's term.
 //!
 //! It proves, for the bounds named below and no more, that no order of these steps loses a promised value; each
-//! guard taken out ("planted") gives an order that does.
+//! guard taken out ("injected") gives an order that does.
 
-use sedgerun_fleet::memory::{Life, Mark, Memory};
-use sedgerun_fleet::repair::{self, Keeper, Spare, Step};
+use sedgerun_fleet::repair::{self, Candidate, GroupMember, Step};
 use sedgerun_fleet::view::Rules;
+use sedgerun_fleet::watermark::{Incarnation, Watermark, Watermarks};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::collections::BTreeSet;
 
@@ -16,21 +16,21 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Disk {
     store: u64,
-    life: u64,
+    incarnation: u64,
     vote: u64,
     /// Terms and values.
     log: Vec<(u64, u8)>,
-    memory: Memory,
+    watermarks: Watermarks,
 }
 
 impl Disk {
-    fn new(store: u64, life: u64) -> Disk {
-        Disk { store, life, vote: 0, log: Vec::new(), memory: Memory::default() }
+    fn new(store: u64, incarnation: u64) -> Disk {
+        Disk { store, incarnation, vote: 0, log: Vec::new(), watermarks: Watermarks::default() }
     }
 
-    fn mark(&self) -> Mark {
+    fn watermark(&self) -> Watermark {
         let last = self.log.last().map_or((0, 0), |(term, _)| (*term, self.log.len() as u64));
-        Mark { vote: self.vote, last }
+        Watermark { vote: self.vote, last }
     }
 }
 
@@ -42,7 +42,7 @@
     up: bool,
     /// It has found out that it is an older copy: it votes and acknowledges no more.
     old: bool,
-    birth: u64,
+    nonce: u64,
 }
 
 impl Machine {
@@ -55,7 +55,7 @@
 struct State {
     machines: Vec<Machine>,
     /// Stores that vote.
-    keepers: BTreeSet<u64>,
+    voters: BTreeSet<u64>,
     /// The leader's machine and term.
     leader: Option<(usize, u64)>,
     promised: BTreeSet<u8>,
@@ -75,12 +75,12 @@
     Restore(usize),
     Wipe(usize),
     Start(usize),
-    Mend,
+    Repair,
 }
 
 /// What is taken out to see that the model sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Planted {
+enum RemovedGuard {
     Nothing,
     /// Older copies are taken for what they were.
     OlderCopy,
@@ -95,7 +95,7 @@
 }
 
 struct Fleet {
-    planted: Planted,
+    removed_guard: RemovedGuard,
     machines: usize,
     crashes: u8,
     values: u8,
@@ -103,72 +103,76 @@
 
 /// Faults of disks in all, and the highest term.
 const DISK_FAULTS: u8 = 1;
-const MOST_TERM: u64 = 3;
+const MAX_TERM: u64 = 3;
 
 fn majority(state: &State, have: impl Fn(&Machine) -> bool) -> bool {
-    let held = state.machines.iter().filter(|m| state.keepers.contains(&m.disk.store) && have(m));
-    held.map(|machine| machine.disk.store).collect::<BTreeSet<u64>>().len() > state.keepers.len() / 2
+    let held = state.machines.iter().filter(|m| state.voters.contains(&m.disk.store) && have(m));
+    held.map(|machine| machine.disk.store).collect::<BTreeSet<u64>>().len() > state.voters.len() / 2
 }
 
 fn note(state: &mut State, by: usize, of: usize) {
     let machine = &state.machines[of];
-    let (store, mark) = (machine.disk.store, machine.disk.mark());
-    let life = Life { count: machine.disk.life, birth: machine.birth };
-    state.machines[by].disk.memory.note(store, life, mark);
+    let (store, watermark) = (machine.disk.store, machine.disk.watermark());
+    let incarnation = Incarnation { count: machine.disk.incarnation, nonce: machine.nonce };
+    state.machines[by].disk.watermarks.observe(store, incarnation, watermark);
 }
 
 impl Fleet {
     fn start(&self, state: &mut State, i: usize) {
         let machine = &mut state.machines[i];
-        machine.disk.life += 1;
-        // Another than that of the same life before a fault of the disk.
-        (machine.up, machine.old, machine.birth) =
-            (true, false, machine.disk.life * 10 + u64::from(state.faults));
-        let (store, woke) = (machine.disk.store, machine.disk.mark());
-        let life = Life { count: machine.disk.life, birth: machine.birth };
+        machine.disk.incarnation += 1;
+        // Another than that of the same incarnation before a fault of the disk.
+        (machine.up, machine.old, machine.nonce) =
+            (true, false, machine.disk.incarnation * 10 + u64::from(state.faults));
+        let (store, initial_watermark) = (machine.disk.store, machine.disk.watermark());
+        let incarnation = Incarnation { count: machine.disk.incarnation, nonce: machine.nonce };
         let others = (0..state.machines.len()).filter(|j| *j != i && state.machines[*j].acts());
-        let older = others.into_iter().any(|j| state.machines[j].disk.memory.is_older(store, life, woke));
-        // One that was planted with the number of the store before it is not found out by its memory either.
-        state.machines[i].old = older && !matches!(self.planted, Planted::OlderCopy | Planted::OldName);
+        let older = others
+            .into_iter()
+            .any(|j| state.machines[j].disk.watermarks.is_rolled_back(store, incarnation, initial_watermark));
+        // One that was injected with the number of the store before it is not found out by its memory either.
+        state.machines[i].old =
+            older && !matches!(self.removed_guard, RemovedGuard::OlderCopy | RemovedGuard::OldName);
     }
 
     /// The step of repair that the leader takes, as [`repair::next`] decides it.
-    fn mend(&self, state: &State) -> Option<State> {
+    fn repair(&self, state: &State) -> Option<State> {
         let (leader, term) = state.leader.filter(|(leader, _)| state.machines[*leader].acts())?;
         let own = state.machines[leader].disk.clone();
         let of = |store: u64| state.machines.iter().find(|machine| machine.disk.store == store);
         let head = |store: u64| format!("h{}", store % 10);
-        let keeper = |store: u64, votes: bool| {
-            let silent = if of(store).is_some_and(Machine::acts) { 0 } else { repair::AWAY };
-            Keeper { store, head: head(store), zone: None, votes, silent, lacks: Some(0) }
+        let member = |store: u64, votes: bool| {
+            let silent_ms =
+                if of(store).is_some_and(Machine::acts) { 0 } else { repair::UNREACHABLE_AFTER_MS };
+            GroupMember { store, head: head(store), zone: None, votes, silent_ms, lag: Some(0) }
         };
-        let mut keepers: Vec<Keeper> = state.keepers.iter().map(|store| keeper(*store, true)).collect();
-        let new = |machine: &&Machine| machine.acts() && !state.keepers.contains(&machine.disk.store);
-        let spares = state.machines.iter().filter(new).map(|machine| {
+        let mut voters: Vec<GroupMember> = state.voters.iter().map(|store| member(*store, true)).collect();
+        let new = |machine: &&Machine| machine.acts() && !state.voters.contains(&machine.disk.store);
+        let candidates = state.machines.iter().filter(new).map(|machine| {
             let store = machine.disk.store;
-            Spare { store, head: head(store), address: String::new(), zone: None }
+            Candidate { store, head: head(store), address: String::new(), zone: None }
         });
-        let spares: Vec<Spare> = spares.collect();
-        let step = repair::next(&Rules::default(), &keepers, &spares, own.store);
-        let Some(Step::Bring(spare)) = step else { return None };
+        let candidates: Vec<Candidate> = candidates.collect();
+        let step = repair::next_step(&Rules::default(), &voters, &candidates, own.store);
+        let Some(Step::AddLearner(candidate)) = step else { return None };
         // Brought up to date and then let in: one step here, as nobody counts a newcomer in between.
-        keepers.push(keeper(spare.store, false));
-        let step = repair::next(&Rules::default(), &keepers, &[], own.store);
-        let Some(Step::Swap(out, into)) = step else { return None };
+        voters.push(member(candidate.store, false));
+        let step = repair::next_step(&Rules::default(), &voters, &[], own.store);
+        let Some(Step::Replace(out, into)) = step else { return None };
         let mut next = state.clone();
         let i = next.machines.iter().position(|machine| machine.disk.store == into)?;
-        if self.planted != Planted::EmptyNewcomer {
+        if self.removed_guard != RemovedGuard::EmptyNewcomer {
             (next.machines[i].disk.log, next.machines[i].disk.vote) = (own.log.clone(), term);
         }
-        next.keepers.remove(&out);
-        next.keepers.insert(into);
+        next.voters.remove(&out);
+        next.voters.insert(into);
         // The change is an entry in the log: a majority of those before and of those after has all that is in
         // front of it.
         let has =
             |machine: &Machine| machine.acts() && machine.disk.vote <= term && machine.disk.log == own.log;
         let has_after = |machine: &Machine| has(machine) || (machine.acts() && machine.disk.store == into);
         let settled = majority(state, has) && majority(&next, has_after);
-        if !settled && self.planted != Planted::EmptyNewcomer {
+        if !settled && self.removed_guard != RemovedGuard::EmptyNewcomer {
             return None;
         }
         note(&mut next, leader, i);
@@ -183,11 +187,11 @@
     fn init_states(&self) -> Vec<State> {
         let machine = |i: usize| {
             let disk = Disk::new(1 + i as u64, 1);
-            Machine { disk, copy: None, up: true, old: false, birth: 10 }
+            Machine { disk, copy: None, up: true, old: false, nonce: 10 }
         };
         vec![State {
             machines: (0..self.machines).map(machine).collect(),
-            keepers: BTreeSet::from([1, 2, 3]),
+            voters: BTreeSet::from([1, 2, 3]),
             leader: None,
             promised: BTreeSet::new(),
             written: 0,
@@ -199,7 +203,7 @@
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
         let disk_faults = state.faults < DISK_FAULTS;
         for (i, machine) in state.machines.iter().enumerate() {
-            if machine.acts() && state.keepers.contains(&machine.disk.store) {
+            if machine.acts() && state.voters.contains(&machine.disk.store) {
                 actions.extend((0..state.machines.len()).filter(|j| *j != i).map(|j| Action::Elect(i, j)));
             }
             if machine.acts() && state.leader.is_some_and(|(leader, _)| leader != i) {
@@ -217,14 +221,14 @@
                 if disk_faults {
                     actions.push(Action::Wipe(i));
                     let others = state.machines.iter().enumerate().all(|(j, other)| j == i || other.up);
-                    if machine.copy.is_some() && (others || self.planted == Planted::TwoDown) {
+                    if machine.copy.is_some() && (others || self.removed_guard == RemovedGuard::TwoDown) {
                         actions.push(Action::Restore(i));
                     }
                 }
             }
         }
         if state.leader.is_some() {
-            actions.push(Action::Mend);
+            actions.push(Action::Repair);
             if state.written < self.values {
                 actions.push(Action::Write);
             }
@@ -237,14 +241,15 @@
             Action::Elect(i, j) => {
                 let term = before.machines[i].disk.vote + 1;
                 let (candidate, voter) = (&before.machines[i], &before.machines[j]);
-                let votes = voter.acts() && before.keepers.contains(&voter.disk.store);
-                let behind = voter.disk.vote >= term || voter.disk.mark().last > candidate.disk.mark().last;
-                if !votes || behind || term > MOST_TERM {
+                let votes = voter.acts() && before.voters.contains(&voter.disk.store);
+                let behind =
+                    voter.disk.vote >= term || voter.disk.watermark().last > candidate.disk.watermark().last;
+                if !votes || behind || term > MAX_TERM {
                     return None;
                 }
                 (state.machines[i].disk.vote, state.machines[j].disk.vote) = (term, term);
                 note(&mut state, i, j);
-                if self.planted != Planted::LeaderUnnoted {
+                if self.removed_guard != RemovedGuard::LeaderUnnoted {
                     note(&mut state, j, i);
                 }
                 state.leader = Some((i, term));
@@ -264,7 +269,7 @@
                 (to.vote, to.log) = (term, log.clone());
                 note(&mut state, leader, j);
                 // What a leader sends it has synced itself: whoever hears of it remembers that, too.
-                if self.planted != Planted::LeaderUnnoted {
+                if self.removed_guard != RemovedGuard::LeaderUnnoted {
                     note(&mut state, j, leader);
                 }
                 // Settled once a majority holds it in the leader's own term.
@@ -287,13 +292,15 @@
             Action::Wipe(i) => {
                 state.faults += 1;
                 let disk = &before.machines[i].disk;
-                let store = if self.planted == Planted::OldName { disk.store } else { disk.store + 10 };
-                let life = if self.planted == Planted::OldName { disk.life } else { 0 };
-                (state.machines[i].disk, state.machines[i].copy) = (Disk::new(store, life), None);
+                let store =
+                    if self.removed_guard == RemovedGuard::OldName { disk.store } else { disk.store + 10 };
+                let incarnation =
+                    if self.removed_guard == RemovedGuard::OldName { disk.incarnation } else { 0 };
+                (state.machines[i].disk, state.machines[i].copy) = (Disk::new(store, incarnation), None);
                 self.start(&mut state, i);
             }
             Action::Start(i) => self.start(&mut state, i),
-            Action::Mend => return self.mend(before),
+            Action::Repair => return self.repair(before),
         }
         (state != *before).then_some(state)
     }
@@ -306,7 +313,7 @@
                 state.promised.iter().all(|value| log.iter().any(|(_, held)| held == value))
             }),
             Property::<Fleet>::sometimes("a place is taken by another store", |_, state| {
-                !state.promised.is_empty() && state.keepers != BTreeSet::from([1, 2, 3])
+                !state.promised.is_empty() && state.voters != BTreeSet::from([1, 2, 3])
             }),
             Property::<Fleet>::sometimes("an older copy is found out", |_, state| {
                 state.machines.iter().any(|machine| machine.old)
@@ -316,17 +323,17 @@
 }
 
 /// Whether a promise is lost, in how many states.
-fn explore(planted: Planted, machines: usize, crashes: u8, values: u8) -> (bool, usize) {
-    let fleet = Fleet { planted, machines, crashes, values };
+fn explore(removed_guard: RemovedGuard, machines: usize, crashes: u8, values: u8) -> (bool, usize) {
+    let fleet = Fleet { removed_guard, machines, crashes, values };
     let checker = fleet.checker().threads(4).finish_when(HasDiscoveries::AnyFailures).spawn_bfs().join();
     let lost = checker.discovery("a leader holds what was promised");
-    if let (Some(path), Planted::Nothing) = (&lost, planted) {
+    if let (Some(path), RemovedGuard::Nothing) = (&lost, removed_guard) {
         println!("{:?}", path.clone().into_actions());
     }
     let lost = lost.is_some();
     let states = checker.unique_state_count();
-    println!("{planted:?}: {machines} machines, {crashes} crashes, {values} values: {states} states");
-    if planted == Planted::Nothing {
+    println!("{removed_guard:?}: {machines} machines, {crashes} crashes, {values} values: {states} states");
+    if removed_guard == RemovedGuard::Nothing {
         for reached in ["a place is taken by another store", "an older copy is found out"] {
             assert!(checker.discovery(reached).is_some(), "never reached: {reached}");
         }
@@ -336,15 +343,20 @@
 
 #[test]
 fn no_order_of_crashes_and_one_fault_of_a_disk_loses_a_promised_value() {
-    let (lost, states) = explore(Planted::Nothing, 3, 1, 1);
+    let (lost, states) = explore(RemovedGuard::Nothing, 3, 1, 1);
     assert!(!lost && states > 10_000, "{states} states");
 }
 
 #[test]
 fn each_guard_taken_out_is_found() {
-    let all = [Planted::OlderCopy, Planted::EmptyNewcomer, Planted::OldName, Planted::LeaderUnnoted];
-    for planted in all {
-        assert!(explore(planted, 3, 1, 1).0, "not found: {planted:?}");
+    let all = [
+        RemovedGuard::OlderCopy,
+        RemovedGuard::EmptyNewcomer,
+        RemovedGuard::OldName,
+        RemovedGuard::LeaderUnnoted,
+    ];
+    for removed_guard in all {
+        assert!(explore(removed_guard, 3, 1, 1).0, "not found: {removed_guard:?}");
     }
 }
 
@@ -352,7 +364,7 @@
 /// is down, nobody is left who remembers.
 #[test]
 fn an_older_copy_beside_a_second_machine_that_is_down_is_beyond_the_promise() {
-    assert!(explore(Planted::TwoDown, 3, 2, 1).0);
+    assert!(explore(RemovedGuard::TwoDown, 3, 2, 1).0);
 }
 
 /// By command: `cargo test --release -p sedgerun-fleet --test model -- --ignored --nocapture`.
@@ -360,6 +372,6 @@
 #[ignore = "minutes, and gigabytes"]
 fn with_more_values_crashes_and_a_spare_machine() {
     for (machines, crashes, values) in [(3, 1, 2), (3, 2, 1), (4, 1, 1)] {
-        assert!(!explore(Planted::Nothing, machines, crashes, values).0);
+        assert!(!explore(RemovedGuard::Nothing, machines, crashes, values).0);
     }
 }
--- a/crates/head/src/admin.rs
+++ b/crates/head/src/admin.rs
@@ -13,7 +13,7 @@
 use actix_service::{Service, ServiceFactory, fn_service};
 use bytes::BytesMut;
 use futures_util::StreamExt;
-use sedgerun_fleet::greeting::same;
+use sedgerun_fleet::greeting::secrets_match;
 use sedgerun_fleet::view::Fields;
 use sedgerun_settings::platform::flatten;
 use serde_json::{Value, json};
@@ -124,7 +124,7 @@
     fn allowed(&self, request: &Request) -> bool {
         let value = request.headers().get("Authorization").map(|value| value.as_bytes());
         let brought = value.and_then(|value| value.strip_prefix(b"Bearer ")).unwrap_or_default();
-        same(brought, self.admin.token.as_bytes())
+        secrets_match(brought, self.admin.token.as_bytes())
     }
 
     /// Answers from what this head works with.
--- a/crates/head/src/command.rs
+++ b/crates/head/src/command.rs
@@ -3,11 +3,11 @@
 //! them.
 
 use crate::config::Sources;
-use crate::fleet::{Fleet, recover::recover, tell};
+use crate::fleet::{Fleet, client, force_recovery::force_recovery};
 use crate::head::{Head, Signals};
 use crate::logging;
 use clap::{Args, CommandFactory, Parser, Subcommand, ValueEnum};
-use sedgerun_fleet::state::Command as Ruling;
+use sedgerun_fleet::state::Command as FleetCommand;
 use sedgerun_settings::{Faults, operator};
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -167,20 +167,20 @@
     let config = sources(files)?.read()?;
     let missing = || Faults::one("fleet", "the operator's file has no (fleet ...)", None);
     let settings = config.operator.fleet.as_ref().ok_or_else(missing)?;
-    let (name, by) = (config.name.as_str(), |command| tell::make(settings, &config.name, command));
+    let (name, by) = (config.name.as_str(), |command| client::make(settings, &config.name, command));
     let settled =
         |version: Result<u64, String>| version.map(|version| format!("settled at version {version}\n"));
     let asked = match ask {
-        Ask::Status { json } => tell::status(settings, name, *json),
-        Ask::Begin => tell::begin(settings, name),
-        Ask::Keepers { number } => settled(by(Ruling::Keepers(*number))),
-        Ask::LostAfter { milliseconds } => settled(by(Ruling::LostAfter(*milliseconds))),
-        Ask::Add { head } => settled(by(Ruling::MayKeep { head: head.clone(), may: true })),
-        Ask::Remove { head } => settled(by(Ruling::MayKeep { head: head.clone(), may: false })),
-        Ask::Replace { head } => settled(tell::replace(settings, name, head)),
-        Ask::Backup { file } => tell::backup(settings, name, file),
-        Ask::Restore { file } => tell::restore(settings, name, file),
-        Ask::Recover { lose_changes_after } => recover(settings, name, *lose_changes_after),
+        Ask::Status { json } => client::status(settings, name, *json),
+        Ask::Begin => client::begin(settings, name),
+        Ask::Keepers { number } => settled(by(FleetCommand::SetVoters(*number))),
+        Ask::LostAfter { milliseconds } => settled(by(FleetCommand::SetDeadAfter(*milliseconds))),
+        Ask::Add { head } => settled(by(FleetCommand::AllowVoter { head: head.clone(), allowed: true })),
+        Ask::Remove { head } => settled(by(FleetCommand::AllowVoter { head: head.clone(), allowed: false })),
+        Ask::Replace { head } => settled(client::replace(settings, name, head)),
+        Ask::Backup { file } => client::backup(settings, name, file),
+        Ask::Restore { file } => client::restore(settings, name, file),
+        Ask::Recover { lose_changes_after } => force_recovery(settings, name, *lose_changes_after),
     };
     asked.map_err(|what| Faults::one("fleet", format!("fleet: {what}"), None))
 }
--- a/crates/head/src/fleet/api.rs
+++ b/crates/head/src/fleet/api.rs
@@ -1,4 +1,4 @@
-//! The administration API where a fleet holds the tenants: changes are settled by the keepers, and reads may ask
+//! The administration API where a fleet holds the tenants: changes are settled by the voters, and reads may ask
 //! for what was settled before.
 
 use super::{Fleet, change};
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 
 /// The longest key that a caller may give a change, in bytes.
-const MOST_KEY: usize = 128;
+const MAX_KEY: usize = 128;
 
 impl Api {
     /// Answers a request; `version` is the version of the fleet's state at which the answer holds.
@@ -31,8 +31,8 @@
         let asked = self.command(request.method(), &parts, body).and_then(|command| {
             let refused = |what: String| error(StatusCode::BAD_REQUEST, what);
             let key = header(request, "Idempotency-Key");
-            if key.is_some_and(|key| key.is_empty() || key.len() > MOST_KEY) {
-                return Err(refused(format!("Idempotency-Key is 1 to {MOST_KEY} bytes")));
+            if key.is_some_and(|key| key.is_empty() || key.len() > MAX_KEY) {
+                return Err(refused(format!("Idempotency-Key is 1 to {MAX_KEY} bytes")));
             }
             change(key, expected(request).map_err(refused)?, command)
                 .map_err(|what| error(StatusCode::INTERNAL_SERVER_ERROR, what))
@@ -89,7 +89,7 @@
         match waited {
             Ok(_) if request.method() == Method::GET && request.path().trim_matches('/') == "v1/bans" => {
                 let bans = fleet.bans().into_iter();
-                let bans = bans.map(|(brick, version)| json!({"brick": brick, "version": version}));
+                let bans = bans.map(|(backend, version)| json!({"brick": backend, "version": version}));
                 (StatusCode::OK, json!({"bans": bans.collect::<Vec<Value>>()}))
             }
             Ok(_) => self.route(request, body),
@@ -103,7 +103,7 @@
         let json = || serde_json::from_slice::<Value>(body).map_err(|_| refused("malformed JSON".into()));
         let put = method == Method::PUT;
         Ok(match *parts {
-            [_, "bans", brick] => Command::Ban { brick: brick.into(), banned: put },
+            [_, "bans", backend] => Command::Ban { backend: backend.into(), banned: put },
             [_, _, tenant, _, export] if put => {
                 let (fields, _) = self.export(tenant, Some(export), &json()?).map_err(refused)?;
                 Command::PutExport { tenant: tenant.into(), export: export.into(), fields }
--- a/crates/head/src/fleet/change.rs
+++ b/crates/head/src/fleet/change.rs
@@ -1,10 +1,10 @@
 //! Changes and settled reads: wherever the leader is, and whichever head is asked.
 
-use super::keeper::{Keeper, Unsettled};
-use super::types::{Call, Place, Reply, Types};
+use super::member::{Member, Unsettled};
+use super::types::{Call, Reply, Types, VoterAddress};
 use openraft::error::{ClientWriteError, RaftError};
 use openraft::raft::ClientWriteResponse;
-use sedgerun_fleet::follow::Teller;
+use sedgerun_fleet::follow::Peer;
 use sedgerun_fleet::greeting::StoreId;
 use sedgerun_fleet::state::{Change, Outcome};
 use std::sync::Arc;
@@ -20,27 +20,28 @@
 const RETRY: Duration = Duration::from_millis(20);
 
 /// Changes of one entry, entries on their way at once, and changes that wait.
-const MOST_TOGETHER: usize = 256;
-const MOST_ENTRIES: usize = 2;
+const MAX_TOGETHER: usize = 256;
+const MAX_ENTRIES: usize = 2;
 /// Changes that wait; past it whoever brings one waits.
-pub const MOST_WAITING: usize = 1024;
+pub const MAX_WAITING: usize = 1024;
 
 /// Why a try came to nothing.
 #[derive(Clone, Debug)]
 pub enum Failed {
     /// This head does not lead; this one may.
-    Elsewhere(Option<Place>),
+    NotLeader(Option<VoterAddress>),
     /// Why else.
-    Why(String),
+    Other(String),
 }
 
-fn late() -> String {
+fn no_majority() -> String {
     "no majority of the keepers answers".to_owned()
 }
 
 /// A change that waits to be written, and who waits for it.
 pub type Waiting = (Change, oneshot::Sender<Result<Outcome, Failed>>);
-type Written = Result<ClientWriteResponse<Types>, RaftError<StoreId, ClientWriteError<StoreId, Place>>>;
+type Written =
+    Result<ClientWriteResponse<Types>, RaftError<StoreId, ClientWriteError<StoreId, VoterAddress>>>;
 
 fn answer_all(
     written: Result<Written, tokio::time::error::Elapsed>,
@@ -55,17 +56,17 @@
             return;
         }
         Ok(Err(RaftError::APIError(ClientWriteError::ForwardToLeader(to)))) => {
-            Failed::Elsewhere(to.leader_node)
+            Failed::NotLeader(to.leader_node)
         }
-        Ok(Err(error)) => Failed::Why(error.to_string()),
-        Err(_) => Failed::Why(late()),
+        Ok(Err(error)) => Failed::Other(error.to_string()),
+        Err(_) => Failed::Other(no_majority()),
     };
     answers.into_iter().for_each(|answer| drop(answer.send(Err(failed.clone()))));
 }
 
-impl Keeper {
+impl Member {
     /// Waits until another leads than this one, or nobody.
-    async fn moved(&self, from: Option<StoreId>) {
+    async fn leader_changed(&self, from: Option<StoreId>) {
         let mut metrics = self.raft.metrics();
         if metrics.wait_for(|metrics| metrics.current_leader != from).await.is_err() {
             std::future::pending::<()>().await;
@@ -74,7 +75,7 @@
 
     /// Makes a change through this head as leader, together with those that wait at the same time.
     async fn write(&self, change: Change) -> Result<Outcome, Failed> {
-        let gone = || Failed::Why("this head makes no changes any more".into());
+        let gone = || Failed::Other("this head makes no changes any more".into());
         let (answer, answered) = oneshot::channel();
         self.changes.send((change, answer)).await.map_err(|_| gone())?;
         let answered = answered.await.map_err(|_| gone())?;
@@ -82,24 +83,24 @@
         answered
     }
 
-    /// Writes whatever changes wait, all of them as one entry: they share its syncs at each keeper. A second entry
+    /// Writes whatever changes wait, all of them as one entry: they share its syncs at each voter. A second entry
     /// gathers while the first is on its way.
     pub async fn write_together(self: Arc<Self>, mut waiting: mpsc::Receiver<Waiting>) {
-        let room = Arc::new(Semaphore::new(MOST_ENTRIES));
+        let room = Arc::new(Semaphore::new(MAX_ENTRIES));
         while let Some(first) = waiting.recv().await {
-            let Ok(place) = Arc::clone(&room).acquire_owned().await else { return };
+            let Ok(permit) = Arc::clone(&room).acquire_owned().await else { return };
             let (mut changes, mut answers) = (vec![first.0], vec![first.1]);
-            while changes.len() < MOST_TOGETHER {
+            while changes.len() < MAX_TOGETHER {
                 let Ok((change, answer)) = waiting.try_recv() else { break };
                 changes.push(change);
                 answers.push(answer);
             }
-            let keeper = Arc::clone(&self);
+            let member = Arc::clone(&self);
             tokio::spawn(async move {
                 // Guards against an entry that is never answered, where the leadership is lost: it would keep its
                 // place for good.
-                let written = tokio::time::timeout(CHANGE, keeper.raft.client_write(changes)).await;
-                drop(place);
+                let written = tokio::time::timeout(CHANGE, member.raft.client_write(changes)).await;
+                drop(permit);
                 answer_all(written, answers);
             });
         }
@@ -110,14 +111,14 @@
         let left = Duration::from_millis(left).min(CHANGE);
         match tokio::time::timeout(left, self.write(change)).await {
             Ok(Ok(outcome)) => Reply::Changed(outcome),
-            Ok(Err(Failed::Elsewhere(place))) => Reply::Elsewhere(place),
-            Ok(Err(Failed::Why(what))) => Reply::Refused(what),
-            Err(_) => Reply::Refused(late()),
+            Ok(Err(Failed::NotLeader(permit))) => Reply::NotLeader(permit),
+            Ok(Err(Failed::Other(what))) => Reply::Refused(what),
+            Err(_) => Reply::Refused(no_majority()),
         }
     }
 
     /// Calls the leader, for as long as it is the leader.
-    async fn ask_leader(&self, leader: &Teller, call: &Call, left: Duration) -> Result<Reply, String> {
+    async fn ask_leader(&self, leader: &Peer, call: &Call, left: Duration) -> Result<Reply, String> {
         let Some(to) = self.links.route(&leader.head, &leader.address) else {
             return Err(format!("the leader {} has no address", leader.head));
         };
@@ -128,11 +129,11 @@
             reply = self.links.call(to, call, left) => {
                 reply.map_err(|error| format!("the leader {} at {to}: {error}", leader.head))
             }
-            () = self.moved(known), if known.is_some() => Err("the leader has just changed".into()),
+            () = self.leader_changed(known), if known.is_some() => Err("the leader has just changed".into()),
         }
     }
 
-    /// Makes a change, wherever the leader is. Settled means synced at a majority of the keepers. Tries again
+    /// Makes a change, wherever the leader is. Settled means synced at a majority of the voters. Tries again
     /// carry the same key, so that one whose answer was lost still happens once.
     pub async fn change(&self, change: Change) -> Result<Outcome, Unsettled> {
         if self.links.own().origin.is_none() {
@@ -140,14 +141,14 @@
         }
         let begun = Instant::now();
         let mut why = "no leader is known".to_owned();
-        let mut elsewhere: Option<Teller> = None;
+        let mut elsewhere: Option<Peer> = None;
         while let Some(left) = CHANGE.checked_sub(begun.elapsed()).filter(|left| !left.is_zero()) {
             if self.votes() {
                 match tokio::time::timeout(left, self.write(change.clone())).await {
                     Ok(Ok(outcome)) => return Ok(outcome),
-                    Ok(Err(Failed::Elsewhere(_))) => {}
-                    Ok(Err(Failed::Why(what))) => why = what,
-                    Err(_) => why = late(),
+                    Ok(Err(Failed::NotLeader(_))) => {}
+                    Ok(Err(Failed::Other(what))) => why = what,
+                    Err(_) => why = no_majority(),
                 }
             }
             let left = CHANGE.saturating_sub(begun.elapsed());
@@ -155,9 +156,9 @@
                 let call = Call::Change(change.clone(), left.as_millis() as u64);
                 match self.ask_leader(&leader, &call, left).await {
                     Ok(Reply::Changed(outcome)) => return Ok(outcome),
-                    Ok(Reply::Elsewhere(place)) => {
+                    Ok(Reply::NotLeader(permit)) => {
                         why = format!("{} does not lead", leader.head);
-                        let other = place.map(|Place { head, address, .. }| Teller { head, address });
+                        let other = permit.map(|VoterAddress { head, address, .. }| Peer { head, address });
                         elsewhere = other.filter(|other| other.head != leader.head);
                     }
                     Ok(Reply::Refused(what)) => why = what,
@@ -175,7 +176,7 @@
         match tokio::time::timeout(CHANGE, self.raft.ensure_linearizable()).await {
             Ok(Ok(_)) => Ok(self.machine.applied()),
             Ok(Err(error)) => Err(error.to_string()),
-            Err(_) => Err(late()),
+            Err(_) => Err(no_majority()),
         }
     }
 
@@ -212,7 +213,7 @@
         match reached {
             Ok(Ok(held)) => Ok(*held),
             _ => {
-                let held = self.machine.look(|view| view.version);
+                let held = self.machine.read(|view| view.version);
                 Err(Unsettled(format!("this head holds version {held}, not {version}")))
             }
         }
--- a/crates/head/src/fleet/tell.rs
+++ b/crates/head/src/fleet/client.rs
@@ -1,16 +1,16 @@
 //! `sedgerun fleet ...`: what the command line asks of the heads of a fleet.
 
+use super::environment::{Tcp, random};
 use super::link::Links;
-use super::outside::{Tcp, random};
 use super::settings::Settings;
-use super::types::{Call, Known, Reply, Status};
+use super::types::{Call, Reply, Status, VoterStatus};
 use super::{change, own_address};
 use futures_util::future::join_all;
 use sedgerun_fleet::greeting::Greeting;
-use sedgerun_fleet::memory::{Life, Mark, Memory};
-use sedgerun_fleet::record::{self, Kind};
+use sedgerun_fleet::record::{self, RecordType};
 use sedgerun_fleet::state::{Command, Outcome};
-use sedgerun_fleet::view::{Behind, Gathering, Item, View};
+use sedgerun_fleet::view::{Transfer, UpstreamBehind, VersionedObject, View};
+use sedgerun_fleet::watermark::{Incarnation, Watermark, Watermarks};
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 use std::fmt::Write as _;
@@ -27,7 +27,7 @@
 struct Backup {
     fleet: String,
     version: u64,
-    items: Vec<Item>,
+    objects: Vec<VersionedObject>,
 }
 
 fn links(settings: &Settings, head: &str) -> Links {
@@ -38,11 +38,11 @@
         store: None,
         zone: None,
         address: String::new(),
-        life: Life::default(),
-        woke: Mark::default(),
+        incarnation: Incarnation::default(),
+        initial_watermark: Watermark::default(),
         origin: None,
     };
-    Links::new(own, settings.routes(), Memory::default(), Arc::new(Tcp))
+    Links::new(own, settings.routes(), Watermarks::default(), Arc::new(Tcp))
 }
 
 fn block_on<T>(work: impl Future<Output = T>) -> Result<T, String> {
@@ -50,7 +50,7 @@
     Ok(runtime.map_err(|error| format!("no runtime: {error}"))?.block_on(work))
 }
 
-/// Makes a change at whichever keeper answers; what was done, at which version.
+/// Makes a change at whichever voter answers; what was done, at which version.
 pub fn make(settings: &Settings, head: &str, command: Command) -> Result<u64, String> {
     // One key for all tries: however often it is asked, it happens once.
     let key = format!("line {:016x}", random()?);
@@ -58,8 +58,8 @@
     let links = links(settings, head);
     block_on(async {
         let mut why = Vec::new();
-        for (name, at) in &settings.keepers {
-            match links.call(*at, &Call::Make(asked.clone()), WITHIN).await {
+        for (name, at) in &settings.voters {
+            match links.call(*at, &Call::Propose(asked.clone()), WITHIN).await {
                 Ok(Reply::Changed(Outcome::Done { version, .. })) => return Ok(version),
                 Ok(Reply::Changed(Outcome::Missing(what) | Outcome::Conflict(what))) => return Err(what),
                 Ok(Reply::Changed(other)) => return Err(format!("{other:?}")),
@@ -72,14 +72,14 @@
     })?
 }
 
-/// Gives up the store that keeps under a head's name: another takes its place at once.
+/// Declares the store dead that votes under a head's name: another takes its place at once.
 pub fn replace(settings: &Settings, head: &str, lost: &str) -> Result<u64, String> {
     let asked = ask_all(settings, head)?;
     let leader = asked.iter().filter_map(|(_, said)| said.as_ref().ok()).find(|said| said.role == "leader");
     let leader = leader.ok_or("no leader answers")?;
-    let keeper = leader.keepers.iter().find(|keeper| keeper.votes && keeper.head == lost);
-    let store = keeper.ok_or(format!("{lost} does not keep"))?.store;
-    make(settings, head, Command::GiveUp(store))
+    let voter = leader.voters.iter().find(|voter| voter.votes && voter.head == lost);
+    let store = voter.ok_or(format!("{lost} does not keep"))?.store;
+    make(settings, head, Command::DeclareDead(store))
 }
 
 /// Writes all that the fleet holds to a file, as settled when it was asked.
@@ -87,8 +87,8 @@
     let links = links(settings, head);
     let view = block_on(async {
         let mut why = Vec::new();
-        for (name, at) in &settings.keepers {
-            match gather(&links, *at).await {
+        for (name, at) in &settings.voters {
+            match download(&links, *at).await {
                 Ok(view) => return Ok(view),
                 Err(what) => why.push(format!("{name}: {what}")),
             }
@@ -96,8 +96,8 @@
         Err(why.join("; "))
     })??;
     let backup =
-        Backup { fleet: settings.name.clone(), version: view.version, items: view.items().collect() };
-    let bytes = record::seal(Kind::Backup, &backup).map_err(|error| error.to_string())?;
+        Backup { fleet: settings.name.clone(), version: view.version, objects: view.objects().collect() };
+    let bytes = record::seal(RecordType::Backup, &backup).map_err(|error| error.to_string())?;
     let failed = |error: std::io::Error| format!("{}: {error}", file.display());
     // Guards against half a backup under the name of a whole one.
     let part = file.with_extension("part");
@@ -117,19 +117,21 @@
 }
 
 /// All that the leader holds; an error at heads that do not lead.
-async fn gather(links: &Links, at: std::net::SocketAddr) -> Result<View, String> {
+async fn download(links: &Links, at: std::net::SocketAddr) -> Result<View, String> {
     let latest = match links.call(at, &Call::Latest, WITHIN).await.map_err(|error| error.to_string())? {
         Reply::Latest(version) => version,
         Reply::Refused(what) => return Err(what),
         _ => return Err("an answer to something else".into()),
     };
-    let (mut view, mut gathering) = (View::default(), Gathering::default());
+    let (mut view, mut transfer) = (View::default(), Transfer::default());
     while view.version < latest {
-        let (since, begun) = gathering.ask(&view);
-        let reply =
-            links.call(at, &Call::Piece(since, begun), WITHIN).await.map_err(|error| error.to_string())?;
-        let Reply::Piece(piece) = reply else { return Err("an answer to something else".into()) };
-        gathering.take(&mut view, piece).map_err(|Behind| "it has gone back")?;
+        let (since, first_version) = transfer.next_request(&view);
+        let reply = links
+            .call(at, &Call::Chunk(since, first_version), WITHIN)
+            .await
+            .map_err(|error| error.to_string())?;
+        let Reply::Chunk(chunk) = reply else { return Err("an answer to something else".into()) };
+        transfer.accept(&mut view, chunk).map_err(|UpstreamBehind| "it has gone back")?;
     }
     Ok(view)
 }
@@ -137,22 +139,22 @@
 /// Puts a backup into a fleet that holds nothing.
 pub fn restore(settings: &Settings, head: &str, file: &Path) -> Result<String, String> {
     let bytes = std::fs::read(file).map_err(|error| format!("{}: {error}", file.display()))?;
-    let backup: Backup =
-        record::open(Kind::Backup, &bytes).map_err(|spoilt| format!("{}: {spoilt}", file.display()))?;
-    let version = make(settings, head, Command::Restore(backup.items))?;
+    let backup: Backup = record::open(RecordType::Backup, &bytes)
+        .map_err(|corrupt| format!("{}: {corrupt}", file.display()))?;
+    let version = make(settings, head, Command::Restore(backup.objects))?;
     Ok(format!(
         "version {} of fleet {} is in this fleet as version {version}\n",
         backup.version, backup.fleet
     ))
 }
 
-/// Begins the fleet at this head with the keepers of its settings.
+/// Begins the fleet at this head with the voters of its settings.
 pub fn begin(settings: &Settings, head: &str) -> Result<String, String> {
     let at = own_address(settings, head);
     let reply = block_on(links(settings, head).call(at, &Call::Begin, WITHIN))?;
     match reply.map_err(|error| format!("{head} at {at}: {error}"))? {
         Reply::Begun => {
-            Ok(format!("fleet {} has begun with {} keepers\n", settings.name, settings.keepers.len()))
+            Ok(format!("fleet {} has begun with {} keepers\n", settings.name, settings.voters.len()))
         }
         Reply::Refused(why) => Err(why),
         _ => Err(format!("{head} at {at}: an answer to something else")),
@@ -161,7 +163,7 @@
 
 type Answers = Vec<(String, Result<Status, String>)>;
 
-/// How the keepers of the settings and those that have taken their places stand, all asked at once; an error
+/// How the voters of the settings and those that have taken their places stand, all asked at once; an error
 /// where none answers.
 fn ask_all(settings: &Settings, head: &str) -> Result<Answers, String> {
     let links = links(settings, head);
@@ -179,19 +181,19 @@
     };
     let asked = block_on(async {
         // The head whose settings these are is asked, too, as it sees itself.
-        let mut first = settings.keepers.clone();
+        let mut first = settings.voters.clone();
         first.entry(head.to_owned()).or_insert_with(|| own_address(settings, head));
         let first = first.into_iter().map(|(name, at)| ask(name, Some(at)));
         let mut asked: Answers = join_all(first).await;
         let said = asked.iter().filter_map(|(_, said)| said.as_ref().ok());
         let newest = said.max_by_key(|status| (status.term, status.last));
-        let known = newest.map(|status| status.keepers.clone()).unwrap_or_default();
-        let others = known.into_iter().filter(|keeper| asked.iter().all(|(name, _)| *name != keeper.head));
-        let others: Vec<Known> = others.collect();
+        let known = newest.map(|status| status.voters.clone()).unwrap_or_default();
+        let others = known.into_iter().filter(|voter| asked.iter().all(|(name, _)| *name != voter.head));
+        let others: Vec<VoterStatus> = others.collect();
         let others = others.into_iter();
-        let others = others.map(|keeper| {
-            let at = links.route(&keeper.head, &keeper.address);
-            ask(keeper.head, at)
+        let others = others.map(|voter| {
+            let at = links.route(&voter.head, &voter.address);
+            ask(voter.head, at)
         });
         asked.extend(join_all(others).await);
         asked
@@ -203,14 +205,14 @@
     Ok(asked)
 }
 
-/// How all heads of the fleet stand, as a table or as JSON; an error where no keeper answers.
+/// How all heads of the fleet stand, as a table or as JSON; an error where no voter answers.
 pub fn status(settings: &Settings, head: &str, as_json: bool) -> Result<String, String> {
     let asked = ask_all(settings, head)?;
     Ok(if as_json { format!("{}\n", table_json(settings, &asked)) } else { table(settings, &asked) })
 }
 
-/// The heads that follow, as the keepers tell of them, each once and those with a row of their own left out.
-fn followers(asked: &Answers) -> Vec<sedgerun_fleet::follow::Hanging> {
+/// The followers, as the voters report them, each once and those with a row of their own left out.
+fn followers(asked: &Answers) -> Vec<sedgerun_fleet::follow::Downstream> {
     let mut all = std::collections::BTreeMap::new();
     for status in asked.iter().filter_map(|(_, said)| said.as_ref().ok()) {
         all.extend(status.followers.iter().map(|follower| (follower.at.head.clone(), follower.clone())));
@@ -230,7 +232,7 @@
             Ok(status) => {
                 let mut told = json!(status);
                 told["store"] = hexadecimal(status.store);
-                for (place, known) in status.keepers.iter().enumerate() {
+                for (place, known) in status.voters.iter().enumerate() {
                     told["keepers"][place]["store"] = hexadecimal(known.store);
                 }
                 for (place, known) in status.followers.iter().enumerate() {
@@ -243,7 +245,7 @@
         .collect();
     let followers = followers(asked).into_iter().map(|known| {
         json!({"head": known.at.head, "role": "follower", "address": known.at.address, "zone": known.zone,
-            "version": known.version, "life": known.life, "store": hexadecimal(known.store)})
+            "version": known.version, "life": known.incarnation, "store": hexadecimal(known.store)})
     });
     json!({"fleet": settings.name, "heads": heads, "followers": followers.collect::<Vec<Value>>()})
 }
@@ -268,7 +270,7 @@
                 newest.saturating_sub(status.version),
                 status.last,
                 status.store,
-                status.life,
+                status.incarnation,
                 status.syncs.2,
                 status.syncs.1,
                 status.trouble.as_deref().or(status.leader.as_deref()).unwrap_or("nobody"),
@@ -287,7 +289,7 @@
             newest.saturating_sub(known.version),
             "",
             known.store,
-            known.life,
+            known.incarnation,
         );
     }
     text
--- a/crates/head/src/fleet/disk.rs
+++ b/crates/head/src/fleet/disk.rs
@@ -1,16 +1,16 @@
-//! What a keeper holds on its disk, in one redb file: its identity, its vote, the log and the last snapshot.
+//! What a voter holds on its disk, in one redb file: its identity, its vote, the log and the last snapshot.
 //!
 //! One thread writes, so that whatever waits while one sync runs shares the next; nobody else waits for a disk.
-//! All records are checksummed ([`record`]), and all are read at the start: a spoilt one ends the start.
+//! All records are checksummed ([`record`]), and all are read at the start: a corrupt one ends the start.
 
-use super::outside::random;
+use super::environment::random;
 use super::types::{Entry, LogId, SnapshotMeta, Types, Vote};
 use openraft::storage::LogFlushed;
 use redb::{Builder, Database, Durability, ReadableDatabase, ReadableTable, StorageBackend, TableDefinition};
 use sedgerun_fleet::greeting::StoreId;
-use sedgerun_fleet::memory::{Mark, Memory};
-use sedgerun_fleet::record::{self, Kind};
+use sedgerun_fleet::record::{self, RecordType};
 use sedgerun_fleet::view::View;
+use sedgerun_fleet::watermark::{Watermark, Watermarks};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -27,9 +27,9 @@
 /// Memory that redb may use.
 const CACHE: usize = 1 << 20;
 /// Jobs that wait for the writer; past it whoever brings one waits.
-const MOST_WAITING: usize = 1024;
+const MAX_WAITING: usize = 1024;
 /// The most jobs of one sync.
-const MOST_SHARED: usize = 512;
+const MAX_SHARED: usize = 512;
 /// The file's name in its folder.
 const FILE: &str = "fleet.redb";
 
@@ -39,14 +39,14 @@
     /// Made once.
     pub store: StoreId,
     /// Counted up at each start.
-    pub life: u64,
+    pub incarnation: u64,
     /// Origin of the fleet whose state it holds.
     pub origin: Option<u64>,
 }
 
 /// What a store held when it was opened.
 pub struct Held {
-    /// Whose it is, in its new life.
+    /// Whose it is, in its new incarnation.
     pub identity: Identity,
     /// The last vote.
     pub vote: Option<Vote>,
@@ -57,7 +57,7 @@
     /// The log.
     pub log: BTreeMap<u64, Entry>,
     /// What is remembered of other stores.
-    pub memory: Memory,
+    pub watermarks: Watermarks,
     /// The last snapshot and its state.
     pub snapshot: Option<(SnapshotMeta, Vec<u8>)>,
     /// What it held as a follower.
@@ -66,11 +66,14 @@
 
 impl Held {
     /// How far the store was when it was opened.
-    pub fn mark(&self) -> Mark {
+    pub fn watermark(&self) -> Watermark {
         let snapshot = self.snapshot.as_ref().and_then(|(head, _)| head.last_log_id);
         let last = self.log.values().next_back().map(|entry| entry.log_id).max(self.purged).max(snapshot);
         let position = |at: LogId| (at.leader_id.term, at.index);
-        Mark { vote: self.vote.map_or(0, |vote| vote.leader_id().term), last: last.map_or((0, 0), position) }
+        Watermark {
+            vote: self.vote.map_or(0, |vote| vote.leader_id().term),
+            last: last.map_or((0, 0), position),
+        }
     }
 }
 
@@ -105,7 +108,7 @@
     pub syncs: Arc<Syncs>,
 }
 
-fn place(folder: &Path, what: impl Display) -> String {
+fn located(folder: &Path, what: impl Display) -> String {
     format!("{}: {what}", folder.join(FILE).display())
 }
 
@@ -119,25 +122,25 @@
 /// Opens the file in a folder, or makes it, and reads all that it holds. An error names file and place.
 pub fn database(folder: &Path) -> Result<(Database, Held), String> {
     let database = builder().create(folder.join(FILE));
-    let database = database.map_err(|error| place(folder, error))?;
-    let held = read(&database).map_err(|what| place(folder, what))?;
+    let database = database.map_err(|error| located(folder, error))?;
+    let held = read(&database).map_err(|what| located(folder, what))?;
     Ok((database, held))
 }
 
-/// Opens the store in a folder, or makes it, and begins its next life. An error names file and place.
+/// Opens the store in a folder, or makes it, and begins its next incarnation. An error names file and place.
 pub fn open(folder: &Path) -> Result<(Disk, Held), String> {
     std::fs::create_dir_all(folder).map_err(|error| format!("{}: {error}", folder.display()))?;
     let (database, held) = database(folder)?;
     let (disk, writer, held) = begin(database, held, folder.join(FILE).display().to_string())?;
-    sync_folder(folder).map_err(|error| place(folder, error))?;
+    sync_folder(folder).map_err(|error| located(folder, error))?;
     let thread = std::thread::Builder::new().name("fleet-disk".into());
     let spawned = thread.spawn(move || writer.run());
-    spawned.map_err(|error| place(folder, format!("no thread: {error}")))?;
+    spawned.map_err(|error| located(folder, format!("no thread: {error}")))?;
     Ok((disk, held))
 }
 
-/// Opens a store on what a World has in place of a disk; `sync` is how long each write takes.
-pub fn open_in_world(
+/// Opens a store on what a simulator has in place of a disk; `sync` is how long each write takes.
+pub fn open_in_simulator(
     backend: impl StorageBackend,
     mut sync: impl FnMut() -> Duration + Send + 'static,
 ) -> Result<(Disk, Held), String> {
@@ -153,14 +156,14 @@
     Ok((disk, held))
 }
 
-/// Begins the next life of a store.
+/// Begins the next incarnation of a store.
 fn begin(database: Database, mut held: Held, name: String) -> Result<(Disk, Writer, Held), String> {
     let at = |error: &dyn Display| format!("{name}: {error}");
-    held.identity.life += 1;
-    let identity = record::seal(Kind::Identity, &held.identity).map_err(|error| at(&error))?;
+    held.identity.incarnation += 1;
+    let identity = record::seal(RecordType::Identity, &held.identity).map_err(|error| at(&error))?;
     let begin = Job::Put("identity", identity, oneshot::channel().0);
     write(&database, &[begin]).map_err(|error| at(&error))?;
-    let (jobs, waiting) = mpsc::channel(MOST_WAITING);
+    let (jobs, waiting) = mpsc::channel(MAX_WAITING);
     let syncs = Arc::new(Syncs::default());
     let writer = Writer { database, name, waiting, syncs: Arc::clone(&syncs) };
     Ok((Disk { jobs, syncs }, writer, held))
@@ -185,47 +188,47 @@
         Ok(found.map(|found| found.value().to_vec()))
     };
     fn opened<T: DeserializeOwned>(
-        kind: Kind,
+        record_type: RecordType,
         name: &str,
         bytes: Option<Vec<u8>>,
     ) -> Result<Option<T>, String> {
-        let read = bytes.map(|bytes| record::open(kind, &bytes)).transpose();
-        read.map_err(|spoilt| format!("record {name}: {spoilt}"))
+        let read = bytes.map(|bytes| record::open(record_type, &bytes)).transpose();
+        read.map_err(|corrupt| format!("record {name}: {corrupt}"))
     }
     let mut log = BTreeMap::new();
     let entries = begin.open_table(LOG).map_err(|error| text(error.into()))?;
     for entry in entries.iter().map_err(|error| text(error.into()))? {
         let (index, bytes) = entry.map_err(|error| text(error.into()))?;
-        let read = record::open(Kind::Entry, bytes.value());
-        let read = read.map_err(|spoilt| format!("log entry {}: {spoilt}", index.value()))?;
+        let read = record::open(RecordType::Entry, bytes.value());
+        let read = read.map_err(|corrupt| format!("log entry {}: {corrupt}", index.value()))?;
         log.insert(index.value(), read);
     }
-    let identity = opened(Kind::Identity, "identity", bytes("identity")?)?;
+    let identity = opened(RecordType::Identity, "identity", bytes("identity")?)?;
     if identity.is_none() && !log.is_empty() {
         return Err("record identity: missing, though there is a log".into());
     }
-    let head: Option<SnapshotMeta> = opened(Kind::SnapshotHead, "snapshot", bytes("snapshot")?)?;
+    let head: Option<SnapshotMeta> = opened(RecordType::SnapshotHead, "snapshot", bytes("snapshot")?)?;
     let snapshot = match head {
         Some(head) => {
-            let state = opened(Kind::Snapshot, "snapshot state", bytes("state")?)?;
+            let state = opened(RecordType::Snapshot, "snapshot state", bytes("state")?)?;
             Some((head, state.ok_or("record snapshot state: missing")?))
         }
         None => None,
     };
     Ok(Held {
         identity: identity.map_or_else(fresh, Ok)?,
-        vote: opened(Kind::Vote, "vote", bytes("vote")?)?,
-        committed: opened(Kind::Position, "committed", bytes("committed")?)?,
-        purged: opened(Kind::Position, "purged", bytes("purged")?)?,
+        vote: opened(RecordType::Vote, "vote", bytes("vote")?)?,
+        committed: opened(RecordType::Position, "committed", bytes("committed")?)?,
+        purged: opened(RecordType::Position, "purged", bytes("purged")?)?,
         log,
-        memory: opened(Kind::Memory, "memory", bytes("memory")?)?.unwrap_or_default(),
+        watermarks: opened(RecordType::Watermarks, "memory", bytes("memory")?)?.unwrap_or_default(),
         snapshot,
-        followed: opened(Kind::View, "view", bytes("view")?)?.unwrap_or_default(),
+        followed: opened(RecordType::View, "view", bytes("view")?)?.unwrap_or_default(),
     })
 }
 
 fn fresh() -> Result<Identity, String> {
-    Ok(Identity { store: random()?, life: 0, origin: None })
+    Ok(Identity { store: random()?, incarnation: 0, origin: None })
 }
 
 /// The one that writes.
@@ -246,7 +249,7 @@
     /// Writes a job and whatever waits behind it, syncs them together, and tells those that wait for it.
     fn write(&mut self, first: Job) {
         let mut jobs = vec![first];
-        while jobs.len() < MOST_SHARED {
+        while jobs.len() < MAX_SHARED {
             match self.waiting.try_recv() {
                 Ok(job) => jobs.push(job),
                 Err(_) => break,
@@ -280,7 +283,7 @@
     fail::fail_point!("a full disk", |_| Err(redb::Error::Io(io::ErrorKind::StorageFull.into())));
     let mut begin = database.begin_write()?;
     // Guards against a commit that vanishes: with one phase, a store that was killed and of which one page is
-    // spoilt is taken back to the commit before, silently, and what was promised since is gone.
+    // corrupt is taken back to the commit before, silently, and what was promised since is gone.
     begin.set_quick_repair(true);
     if jobs.iter().all(|job| matches!(job, Job::Note(..))) {
         begin.set_durability(Durability::None)?;
@@ -349,22 +352,28 @@
     }
 
     /// Writes a small record and syncs it.
-    pub async fn put<T: Serialize>(&self, kind: Kind, name: &'static str, value: &T) -> Result<(), String> {
-        let bytes = record::seal(kind, value).map_err(|error| error.to_string())?;
+    pub async fn put<T: Serialize>(
+        &self,
+        record_type: RecordType,
+        name: &'static str,
+        value: &T,
+    ) -> Result<(), String> {
+        let bytes = record::seal(record_type, value).map_err(|error| error.to_string())?;
         self.settle(|done| Job::Put(name, bytes, done)).await
     }
 
     /// Writes entries; whoever waits on `flushed` hears when they are synced.
     pub async fn append(&self, entries: &[Entry], flushed: LogFlushed<Types>) -> Result<(), String> {
-        let sealed = entries.iter().map(|entry| Ok((entry.log_id.index, record::seal(Kind::Entry, entry)?)));
-        let sealed: Result<Vec<_>, record::Unwritable> = sealed.collect();
+        let sealed =
+            entries.iter().map(|entry| Ok((entry.log_id.index, record::seal(RecordType::Entry, entry)?)));
+        let sealed: Result<Vec<_>, record::EncodeError> = sealed.collect();
         let job = Job::Append(sealed.map_err(|error| error.to_string())?, flushed);
         self.jobs.send(job).await.map_err(|_| "the writer of the store has ended".to_owned())
     }
 
     /// Notes what is only found out anew from the others where it is lost: some time, with no sync of its own.
-    pub async fn note<T: Serialize>(&self, kind: Kind, name: &'static str, value: &T) {
-        if let Ok(bytes) = record::seal(kind, value) {
+    pub async fn note<T: Serialize>(&self, record_type: RecordType, name: &'static str, value: &T) {
+        if let Ok(bytes) = record::seal(record_type, value) {
             let _ = self.jobs.send(Job::Note(name, bytes)).await;
         }
     }
@@ -376,14 +385,14 @@
 
     /// Removes entries up to here, which a snapshot holds.
     pub async fn purge(&self, upto: LogId) -> Result<(), String> {
-        let position = record::seal(Kind::Position, &upto).map_err(|error| error.to_string())?;
+        let position = record::seal(RecordType::Position, &upto).map_err(|error| error.to_string())?;
         self.settle(|done| Job::Purge(upto.index, position, done)).await
     }
 
     /// Puts a snapshot in the place of the last one.
     pub async fn snapshot(&self, head: &SnapshotMeta, state: &Vec<u8>) -> Result<(), String> {
-        let head = record::seal(Kind::SnapshotHead, head).map_err(|error| error.to_string())?;
-        let state = record::seal(Kind::Snapshot, state).map_err(|error| error.to_string())?;
+        let head = record::seal(RecordType::SnapshotHead, head).map_err(|error| error.to_string())?;
+        let state = record::seal(RecordType::Snapshot, state).map_err(|error| error.to_string())?;
         self.settle(|done| Job::Snapshot(head, state, done)).await
     }
 }
--- a/crates/head/src/fleet/outside.rs
+++ b/crates/head/src/fleet/environment.rs
@@ -1,5 +1,5 @@
-//! What a head's part in a fleet takes from outside: the time, chance, and ways to others. In a rehearsal all
-//! three come from the World that the head is in.
+//! What a head's part in a fleet takes from outside: the time, random numbers, and connections. In a rehearsal all
+//! three come from the simulator that the head is in.
 
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::Rng;
@@ -17,14 +17,14 @@
 pub trait Stream: AsyncRead + AsyncWrite + Unpin + Send + Sync {}
 impl<T: AsyncRead + AsyncWrite + Unpin + Send + Sync> Stream for T {}
 /// A connection, whatever carries it.
-pub type Wire = Box<dyn Stream>;
+pub type Connection = Box<dyn Stream>;
 /// A connection on its way.
-pub type Dialing = Pin<Box<dyn Future<Output = io::Result<Wire>> + Send>>;
+pub type DialFuture = Pin<Box<dyn Future<Output = io::Result<Connection>> + Send>>;
 
 /// What makes connections.
 pub trait Dial: Debug + Send + Sync {
     /// Makes one.
-    fn dial(&self, to: SocketAddr) -> Dialing;
+    fn dial(&self, to: SocketAddr) -> DialFuture;
 }
 
 /// Connections over TCP.
@@ -32,43 +32,44 @@
 pub struct Tcp;
 
 impl Dial for Tcp {
-    fn dial(&self, to: SocketAddr) -> Dialing {
+    fn dial(&self, to: SocketAddr) -> DialFuture {
         Box::pin(async move {
             let stream = TcpStream::connect(to).await?;
             stream.set_nodelay(true)?;
-            Ok(Box::new(stream) as Wire)
+            Ok(Box::new(stream) as Connection)
         })
     }
 }
 
-/// The time and the chance of a World; all its heads live on one thread.
-pub struct World {
+/// The clock and the random numbers of a simulator; all its heads live on one thread.
+pub struct Simulator {
     begun: tokio::time::Instant,
     chance: ChaCha8Rng,
 }
 
-impl World {
-    /// A World that begins now, on this thread, with this chance.
+impl Simulator {
+    /// A simulator that begins now, on this thread, with these random numbers.
     pub fn begin(chance: ChaCha8Rng) {
-        WORLD.set(Some(World { begun: tokio::time::Instant::now(), chance }));
+        SIMULATOR.set(Some(Simulator { begun: tokio::time::Instant::now(), chance }));
     }
 
     /// It ends.
     pub fn end() {
-        WORLD.set(None);
+        SIMULATOR.set(None);
     }
 }
 
 thread_local! {
-    static WORLD: RefCell<Option<World>> = const { RefCell::new(None) };
+    static SIMULATOR: RefCell<Option<Simulator>> = const { RefCell::new(None) };
 }
 
 /// Milliseconds since the machine started, on a clock that goes on through a stopped process and a sleeping machine,
 /// and that nobody sets.
 pub fn now() -> Millis {
-    let world =
-        WORLD.with_borrow(|world| world.as_ref().map(|world| world.begun.elapsed().as_millis() as Millis));
-    world.unwrap_or_else(|| {
+    let simulator = SIMULATOR.with_borrow(|simulator| {
+        simulator.as_ref().map(|simulator| simulator.begun.elapsed().as_millis() as Millis)
+    });
+    simulator.unwrap_or_else(|| {
         let now = clock_gettime(ClockId::Boottime);
         now.tv_sec as Millis * 1000 + now.tv_nsec as Millis / 1_000_000
     })
@@ -76,7 +77,8 @@
 
 /// A number that nobody else draws.
 pub fn random() -> Result<u64, String> {
-    let drawn = WORLD.with_borrow_mut(|world| world.as_mut().map(|world| world.chance.next_u64()));
+    let drawn = SIMULATOR
+        .with_borrow_mut(|simulator| simulator.as_mut().map(|simulator| simulator.chance.next_u64()));
     if let Some(drawn) = drawn {
         return Ok(drawn);
     }
--- a/crates/head/src/fleet/recover.rs
+++ b/crates/head/src/fleet/force_recovery.rs
@@ -1,12 +1,12 @@
-//! A lost majority: one store that is left begins a new fleet with what it holds.
+//! Forced recovery from a lost majority: one store that is left begins a new fleet with what it holds.
 
 use super::disk::{self, Identity};
+use super::environment::random;
 use super::machine;
-use super::outside::random;
 use super::settings::Settings;
-use super::types::{Membership, Place, SnapshotMeta, Vote};
+use super::types::{Membership, SnapshotMeta, Vote, VoterAddress};
 use sedgerun_fleet::greeting::origin;
-use sedgerun_fleet::record::{self, Kind};
+use sedgerun_fleet::record::{self, RecordType};
 use sedgerun_fleet::state::State;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -19,7 +19,7 @@
 
 /// Begins a new fleet with the store of this head's settings, which must not be running. Without `accepted` it
 /// only says, as an error, what may be lost; with it, `accepted` must be the version that it named.
-pub fn recover(settings: &Settings, head: &str, accepted: Option<u64>) -> Result<String, String> {
+pub fn force_recovery(settings: &Settings, head: &str, accepted: Option<u64>) -> Result<String, String> {
     let (database, held) = disk::database(&settings.dir)?;
     let last = held.log.keys().next_back().copied().unwrap_or(0);
     let held_last = held.log.values().next_back().map(|entry| entry.log_id).or(held.purged);
@@ -28,7 +28,7 @@
     let state = machine::replay(held.snapshot.clone(), &held.log, last)?;
     let mut left = Left { settled: settled.view.version, state };
     if held.followed.version > left.state.view.version {
-        // It has followed since: what it was told is newer, and was settled.
+        // It has followed since: what it received is newer, and was settled.
         (left.settled, left.state) = (held.followed.version, State::of(held.followed.clone()));
     }
     let version = left.state.view.version;
@@ -48,26 +48,26 @@
     let store = random()?;
     let term =
         held.vote.map_or(0, |vote| vote.leader_id().term).max(held_last.map_or(0, |at| at.leader_id.term));
-    let at = settings.keepers.get(head).copied().or(settings.address).unwrap_or(settings.listen);
-    let place = Place { head: head.to_owned(), address: at.to_string(), zone: settings.zone.clone() };
-    let keepers = openraft::Membership::new(vec![BTreeSet::from([store])], BTreeMap::from([(store, place)]));
+    let at = settings.voters.get(head).copied().or(settings.address).unwrap_or(settings.listen);
+    let voter = VoterAddress { head: head.to_owned(), address: at.to_string(), zone: settings.zone.clone() };
+    let voters = openraft::Membership::new(vec![BTreeSet::from([store])], BTreeMap::from([(store, voter)]));
     let meta = SnapshotMeta {
         last_log_id: held_last,
-        last_membership: Membership::new(held_last, keepers),
+        last_membership: Membership::new(held_last, voters),
         snapshot_id: format!("recovered-{term}-{}", held_last.map_or(0, |at| at.index)),
     };
-    let identity = Identity { store, life: 0, origin: Some(origin([store])) };
-    let text = |error: record::Unwritable| error.to_string();
-    let state = record::seal(Kind::Snapshot, &left.state).map_err(text)?;
+    let identity = Identity { store, incarnation: 0, origin: Some(origin([store])) };
+    let text = |error: record::EncodeError| error.to_string();
+    let state = record::seal(RecordType::Snapshot, &left.state).map_err(text)?;
     let fresh = [
-        ("identity", record::seal(Kind::Identity, &identity).map_err(text)?),
-        ("vote", record::seal(Kind::Vote, &Vote::new(term, store)).map_err(text)?),
-        ("snapshot", record::seal(Kind::SnapshotHead, &meta).map_err(text)?),
-        ("state", record::seal(Kind::Snapshot, &state).map_err(text)?),
+        ("identity", record::seal(RecordType::Identity, &identity).map_err(text)?),
+        ("vote", record::seal(RecordType::Vote, &Vote::new(term, store)).map_err(text)?),
+        ("snapshot", record::seal(RecordType::SnapshotHead, &meta).map_err(text)?),
+        ("state", record::seal(RecordType::Snapshot, &state).map_err(text)?),
     ];
     let mut fresh = fresh.to_vec();
     if let Some(last) = held_last {
-        fresh.push(("purged", record::seal(Kind::Position, &last).map_err(text)?));
+        fresh.push(("purged", record::seal(RecordType::Position, &last).map_err(text)?));
     }
     disk::replace(&database, &fresh)?;
     Ok(format!(
--- a/crates/head/src/fleet/link.rs
+++ b/crates/head/src/fleet/link.rs
@@ -1,8 +1,8 @@
 //! Connections to other heads: frames of a length and a record, a greeting first, then a call and its answer at
 //! a time.
 
-use super::outside::{Dial, Wire, now};
-use super::types::{Call, Place, Raft, Reply, Types, address};
+use super::environment::{Connection, Dial, now};
+use super::types::{Call, Raft, Reply, Types, VoterAddress, address};
 use openraft::error::{InstallSnapshotError, NetworkError, RPCError, RaftError, RemoteError, Unreachable};
 use openraft::network::RPCOption;
 use openraft::raft::{
@@ -12,8 +12,8 @@
 use openraft::{RaftNetwork, RaftNetworkFactory};
 use sedgerun_fleet::election::Millis;
 use sedgerun_fleet::greeting::{Greeting, Refusal, StoreId, admit};
-use sedgerun_fleet::memory::{Life, Mark, Memory};
-use sedgerun_fleet::record::{self, Kind};
+use sedgerun_fleet::record::{self, RecordType};
+use sedgerun_fleet::watermark::{Incarnation, Watermark, Watermarks};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use std::collections::{BTreeMap, HashMap};
@@ -25,16 +25,20 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
 /// The largest frame.
-pub const MOST_FRAME: usize = 16 << 20;
+pub const MAX_FRAME: usize = 16 << 20;
 /// Time in which a connection must come up and both heads have said who they are.
 pub const GREETING: Duration = Duration::from_millis(500);
 /// Idle connections kept to one head.
-const MOST_IDLE: usize = 8;
+const MAX_IDLE: usize = 8;
 
 /// Writes one frame.
-pub async fn send<T: Serialize>(stream: &mut Wire, kind: Kind, value: &T) -> io::Result<()> {
-    let record = record::seal(kind, value).map_err(io::Error::other)?;
-    if record.len() > MOST_FRAME {
+pub async fn send<T: Serialize>(
+    stream: &mut Connection,
+    record_type: RecordType,
+    value: &T,
+) -> io::Result<()> {
+    let record = record::seal(record_type, value).map_err(io::Error::other)?;
+    if record.len() > MAX_FRAME {
         return Err(io::Error::other(format!("a frame of {} bytes is too long", record.len())));
     }
     let mut frame = (record.len() as u32).to_le_bytes().to_vec();
@@ -43,11 +47,11 @@
 }
 
 /// Reads one frame. A malformed one is an error of the kind `InvalidData`.
-pub async fn receive<T: DeserializeOwned>(stream: &mut Wire, kind: Kind) -> io::Result<T> {
-    let spoilt = |what: String| io::Error::new(io::ErrorKind::InvalidData, what);
+pub async fn receive<T: DeserializeOwned>(stream: &mut Connection, record_type: RecordType) -> io::Result<T> {
+    let corrupt = |what: String| io::Error::new(io::ErrorKind::InvalidData, what);
     let length = stream.read_u32_le().await? as usize;
-    if length > MOST_FRAME {
-        return Err(spoilt(format!("a frame of {length} bytes")));
+    if length > MAX_FRAME {
+        return Err(corrupt(format!("a frame of {length} bytes")));
     }
     let mut record = Vec::new();
     // Guards against a length that was made up: memory grows with what really comes.
@@ -55,7 +59,7 @@
     if record.len() < length {
         return Err(io::ErrorKind::UnexpectedEof.into());
     }
-    record::open(kind, &record).map_err(|error| spoilt(error.to_string()))
+    record::open(record_type, &record).map_err(|error| corrupt(error.to_string()))
 }
 
 /// Who this head is, and how it reaches the others.
@@ -65,12 +69,12 @@
 struct Inner {
     own: Mutex<Greeting>,
     routes: BTreeMap<String, SocketAddr>,
-    idle: Mutex<HashMap<SocketAddr, Vec<Wire>>>,
-    memory: Mutex<Memory>,
+    idle: Mutex<HashMap<SocketAddr, Vec<Connection>>>,
+    watermarks: Mutex<Watermarks>,
     /// Another head has said that this one is an older copy of its disk.
-    old: AtomicBool,
-    /// When each keeper last answered a call of the protocol.
-    heard: Mutex<BTreeMap<StoreId, Millis>>,
+    rolled_back: AtomicBool,
+    /// When each voter last answered a call of the protocol.
+    answered_at: Mutex<BTreeMap<StoreId, Millis>>,
     dial: Arc<dyn Dial>,
 }
 
@@ -79,28 +83,28 @@
     pub fn new(
         own: Greeting,
         routes: BTreeMap<String, SocketAddr>,
-        memory: Memory,
+        watermarks: Watermarks,
         dial: Arc<dyn Dial>,
     ) -> Links {
-        let (own, memory, old) = (Mutex::new(own), Mutex::new(memory), AtomicBool::default());
+        let (own, watermarks, rolled_back) = (Mutex::new(own), Mutex::new(watermarks), AtomicBool::default());
         Links(Arc::new(Inner {
             own,
             routes,
             idle: Mutex::default(),
-            memory,
-            old,
-            heard: Mutex::default(),
+            watermarks,
+            rolled_back,
+            answered_at: Mutex::default(),
             dial,
         }))
     }
 
-    /// When a keeper last answered a call of the protocol.
-    pub fn heard(&self, store: StoreId) -> Option<Millis> {
-        self.0.heard.lock().unwrap_or_else(PoisonError::into_inner).get(&store).copied()
+    /// When a voter last answered a call of the protocol.
+    pub fn answered_at(&self, store: StoreId) -> Option<Millis> {
+        self.0.answered_at.lock().unwrap_or_else(PoisonError::into_inner).get(&store).copied()
     }
 
-    fn note_heard(&self, store: StoreId) {
-        self.0.heard.lock().unwrap_or_else(PoisonError::into_inner).insert(store, now());
+    fn note_answer(&self, store: StoreId) {
+        self.0.answered_at.lock().unwrap_or_else(PoisonError::into_inner).insert(store, now());
     }
 
     /// What this head says of itself.
@@ -114,29 +118,31 @@
     }
 
     /// Whether another head has said that this one has forgotten what it acknowledged.
-    pub fn is_old(&self) -> bool {
-        self.0.old.load(Ordering::SeqCst)
+    pub fn is_rolled_back(&self) -> bool {
+        self.0.rolled_back.load(Ordering::SeqCst)
     }
 
-    fn memory(&self) -> MutexGuard<'_, Memory> {
-        self.0.memory.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock_watermarks(&self) -> MutexGuard<'_, Watermarks> {
+        self.0.watermarks.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Another store has said, or acknowledged, that it is so far in this life.
-    pub fn remember(&self, store: StoreId, life: Life, mark: Mark) {
-        self.memory().note(store, life, mark);
+    /// Another store has said, or acknowledged, that it is so far in this incarnation.
+    pub fn observe(&self, store: StoreId, incarnation: Incarnation, watermark: Watermark) {
+        self.lock_watermarks().observe(store, incarnation, watermark);
     }
 
     /// What is remembered of other stores.
-    pub fn remembered(&self) -> Memory {
-        self.memory().clone()
+    pub fn watermarks(&self) -> Watermarks {
+        self.lock_watermarks().clone()
     }
 
     /// Whether this head goes on with one that said this.
     pub fn admit(&self, own: &Greeting, theirs: &Greeting) -> Result<(), Refusal> {
         admit(own, theirs)?;
-        let older = theirs.store.is_some_and(|store| self.memory().is_older(store, theirs.life, theirs.woke));
-        if older { Err(Refusal::Older) } else { Ok(()) }
+        let older = theirs.store.is_some_and(|store| {
+            self.lock_watermarks().is_rolled_back(store, theirs.incarnation, theirs.initial_watermark)
+        });
+        if older { Err(Refusal::RolledBack) } else { Ok(()) }
     }
 
     /// Where this head calls another: its own settings come first.
@@ -145,16 +151,16 @@
     }
 
     /// A fresh connection, and what the other end says of itself.
-    pub async fn dial(&self, to: SocketAddr) -> io::Result<(Wire, Greeting)> {
+    pub async fn dial(&self, to: SocketAddr) -> io::Result<(Connection, Greeting)> {
         let greet = async {
             let mut stream = self.0.dial.dial(to).await?;
             let own = self.own();
-            send(&mut stream, Kind::Greeting, &own).await?;
-            let theirs: Result<Greeting, Refusal> = receive(&mut stream, Kind::Greeting).await?;
+            send(&mut stream, RecordType::Greeting, &own).await?;
+            let theirs: Result<Greeting, Refusal> = receive(&mut stream, RecordType::Greeting).await?;
             let refused =
                 |refusal: Refusal| io::Error::new(io::ErrorKind::PermissionDenied, refusal.to_string());
-            if theirs == Err(Refusal::Older) {
-                self.0.old.store(true, Ordering::SeqCst);
+            if theirs == Err(Refusal::RolledBack) {
+                self.0.rolled_back.store(true, Ordering::SeqCst);
             }
             let theirs = theirs.map_err(refused)?;
             self.admit(&own, &theirs).map_err(refused)?;
@@ -172,11 +178,11 @@
                 Some(stream) => stream,
                 None => self.dial(to).await?.0,
             };
-            send(&mut stream, Kind::Call, call).await?;
-            let reply = receive(&mut stream, Kind::Reply).await?;
+            send(&mut stream, RecordType::Call, call).await?;
+            let reply = receive(&mut stream, RecordType::Reply).await?;
             let mut idle = idle();
             let kept = idle.entry(to).or_default();
-            if kept.len() < MOST_IDLE {
+            if kept.len() < MAX_IDLE {
                 kept.push(stream);
             }
             Ok(reply)
@@ -185,17 +191,17 @@
     }
 }
 
-/// The way to one keeper, for the consensus library.
-pub struct Way {
+/// The way to one voter, for the consensus library.
+pub struct VoterConnection {
     links: Links,
     target: StoreId,
     to: Option<SocketAddr>,
-    stream: Option<Wire>,
-    /// The life of the store at the other end.
-    life: Life,
+    stream: Option<Connection>,
+    /// The incarnation of the store at the other end.
+    incarnation: Incarnation,
 }
 
-impl Way {
+impl VoterConnection {
     /// One call; its connection is kept only while all goes well.
     async fn call(&mut self, call: &Call, option: &RPCOption) -> io::Result<Reply> {
         let to = self.to.ok_or_else(|| io::Error::other("no address"))?;
@@ -204,20 +210,20 @@
                 Some(stream) => stream,
                 None => {
                     let (stream, greeting) = self.links.dial(to).await?;
-                    // Guards against counting another store in the place of the keeper that lived there.
+                    // Guards against counting another store in the place of the voter that lived there.
                     if greeting.store != Some(self.target) {
                         return Err(io::Error::other("another store lives there"));
                     }
-                    self.life = greeting.life;
+                    self.incarnation = greeting.incarnation;
                     stream
                 }
             };
-            send(&mut stream, Kind::Call, call).await?;
-            let reply = receive(&mut stream, Kind::Reply).await?;
+            send(&mut stream, RecordType::Call, call).await?;
+            let reply = receive(&mut stream, RecordType::Reply).await?;
             self.stream = Some(stream);
-            // Guards against a keeper that answers and keeps nothing any more: it counts as silent.
+            // Guards against a voter that answers and stores nothing any more: it counts as silent.
             if !matches!(reply, Reply::Refused(_)) {
-                self.links.note_heard(self.target);
+                self.links.note_answer(self.target);
             }
             Ok(reply)
         };
@@ -226,12 +232,12 @@
     }
 }
 
-fn unreachable<E: std::error::Error>(error: &io::Error) -> RPCError<StoreId, Place, E> {
+fn unreachable<E: std::error::Error>(error: &io::Error) -> RPCError<StoreId, VoterAddress, E> {
     RPCError::Unreachable(Unreachable::new(error))
 }
 
 /// An answer that says no, or is none to what was asked.
-fn refused<E: std::error::Error>(reply: &Reply) -> RPCError<StoreId, Place, E> {
+fn refused<E: std::error::Error>(reply: &Reply) -> RPCError<StoreId, VoterAddress, E> {
     let what = match reply {
         Reply::Refused(why) => why.clone(),
         _ => "an answer to something else".to_owned(),
@@ -239,19 +245,19 @@
     RPCError::Network(NetworkError::new(&io::Error::other(what)))
 }
 
-impl RaftNetwork<Types> for Way {
+impl RaftNetwork<Types> for VoterConnection {
     async fn append_entries(
         &mut self,
         rpc: AppendEntriesRequest<Types>,
         option: RPCOption,
-    ) -> Result<AppendEntriesResponse<StoreId>, RPCError<StoreId, Place, RaftError<StoreId>>> {
+    ) -> Result<AppendEntriesResponse<StoreId>, RPCError<StoreId, VoterAddress, RaftError<StoreId>>> {
         let last = rpc.entries.last().map(|entry| entry.log_id).or(rpc.prev_log_id);
         let vote = rpc.vote.leader_id().term;
         match self.call(&Call::Append(rpc), &option).await {
             Ok(Reply::Append(answer)) => {
                 if let AppendEntriesResponse::Success = answer {
                     let last = last.map_or((0, 0), |last| (last.leader_id.term, last.index));
-                    self.links.remember(self.target, self.life, Mark { vote, last });
+                    self.links.observe(self.target, self.incarnation, Watermark { vote, last });
                 }
                 Ok(answer)
             }
@@ -266,7 +272,7 @@
         option: RPCOption,
     ) -> Result<
         InstallSnapshotResponse<StoreId>,
-        RPCError<StoreId, Place, RaftError<StoreId, InstallSnapshotError>>,
+        RPCError<StoreId, VoterAddress, RaftError<StoreId, InstallSnapshotError>>,
     > {
         match self.call(&Call::Snapshot(rpc), &option).await {
             Ok(Reply::Snapshot(answer)) => Ok(answer),
@@ -283,13 +289,13 @@
         &mut self,
         rpc: VoteRequest<StoreId>,
         option: RPCOption,
-    ) -> Result<VoteResponse<StoreId>, RPCError<StoreId, Place, RaftError<StoreId>>> {
+    ) -> Result<VoteResponse<StoreId>, RPCError<StoreId, VoterAddress, RaftError<StoreId>>> {
         let vote = rpc.vote.leader_id().term;
         match self.call(&Call::Vote(rpc), &option).await {
             Ok(Reply::Vote(answer)) => {
                 if answer.vote_granted {
-                    let mark = Mark { vote, ..Mark::default() };
-                    self.links.remember(self.target, self.life, mark);
+                    let watermark = Watermark { vote, ..Watermark::default() };
+                    self.links.observe(self.target, self.incarnation, watermark);
                 }
                 Ok(answer)
             }
@@ -300,11 +306,11 @@
 }
 
 impl RaftNetworkFactory<Types> for Links {
-    type Network = Way;
+    type Network = VoterConnection;
 
-    async fn new_client(&mut self, target: StoreId, node: &Place) -> Way {
+    async fn new_client(&mut self, target: StoreId, node: &VoterAddress) -> VoterConnection {
         let to = self.route(&node.head, &node.address);
-        Way { links: self.clone(), target, to, stream: None, life: Life::default() }
+        VoterConnection { links: self.clone(), target, to, stream: None, incarnation: Incarnation::default() }
     }
 }
 
--- a/crates/head/src/fleet/log.rs
+++ b/crates/head/src/fleet/log.rs
@@ -4,7 +4,7 @@
 use super::types::{Entry, LogId, StorageError, Types, Vote};
 use openraft::storage::{LogFlushed, RaftLogStorage};
 use openraft::{AnyError, ErrorSubject, ErrorVerb, LogState, OptionalSend, RaftLogReader, StorageIOError};
-use sedgerun_fleet::record::Kind;
+use sedgerun_fleet::record::RecordType;
 use std::collections::BTreeMap;
 use std::fmt::Debug;
 use std::ops::RangeBounds;
@@ -76,7 +76,7 @@
 
     async fn save_vote(&mut self, vote: &Vote) -> Result<(), StorageError> {
         self.lock().vote = Some(*vote);
-        let saved = self.disk.put(Kind::Vote, "vote", vote).await;
+        let saved = self.disk.put(RecordType::Vote, "vote", vote).await;
         saved.map_err(|what| fault(ErrorVerb::Write, &what))
     }
 
@@ -87,7 +87,7 @@
     async fn save_committed(&mut self, committed: Option<LogId>) -> Result<(), StorageError> {
         self.lock().committed = committed;
         if let Some(committed) = committed {
-            self.disk.note(Kind::Position, "committed", &committed).await;
+            self.disk.note(RecordType::Position, "committed", &committed).await;
         }
         Ok(())
     }
--- a/crates/head/src/fleet/machine.rs
+++ b/crates/head/src/fleet/machine.rs
@@ -6,7 +6,7 @@
 use super::types::{Entry, LogId, Membership, SnapshotMeta, StorageError, Types};
 use openraft::storage::RaftStateMachine;
 use openraft::{EntryPayload, ErrorVerb, OptionalSend, RaftSnapshotBuilder, Snapshot};
-use sedgerun_fleet::record::{self, Kind};
+use sedgerun_fleet::record::{self, RecordType};
 use sedgerun_fleet::state::{Outcome, State};
 use sedgerun_fleet::view::View;
 use std::collections::BTreeMap;
@@ -23,9 +23,9 @@
 }
 
 struct Inner {
-    /// What this head applies as a keeper.
+    /// What this head applies as a voter.
     state: State,
-    /// What it was told as a follower, where that is newer.
+    /// What it received as a follower, where that is newer.
     followed: View,
     applied: Option<LogId>,
     membership: Membership,
@@ -52,7 +52,7 @@
             snapshot: None,
         };
         if let Some((head, bytes)) = snapshot {
-            inner.state = read(&bytes)?;
+            inner.state = decode_state(&bytes)?;
             (inner.applied, inner.membership) = (head.last_log_id, head.last_membership.clone());
             inner.snapshot = Some((head, Arc::new(bytes)));
         }
@@ -98,31 +98,31 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Looks at what this head holds; the look must be short.
-    pub fn look<T>(&self, look: impl FnOnce(&View) -> T) -> T {
-        look(self.lock().view())
+    /// Reads what this head holds; `read` must be short.
+    pub fn read<T>(&self, read: impl FnOnce(&View) -> T) -> T {
+        read(self.lock().view())
     }
 
-    /// The version that this head has applied as a keeper.
+    /// The version that this head has applied as a voter.
     pub fn applied(&self) -> u64 {
         self.lock().state.view.version
     }
 
-    /// Takes news that this head hears as a follower.
-    pub fn hear<T>(&self, hear: impl FnOnce(&mut View) -> T) -> T {
-        let heard = {
+    /// Applies an update that this head receives as a follower.
+    pub fn update_followed<T>(&self, update: impl FnOnce(&mut View) -> T) -> T {
+        let updated = {
             let mut inner = self.lock();
-            // What it has applied as a keeper may be newer; then the news goes on top of that.
+            // What it has applied as a voter may be newer; then the update goes on top of that.
             if inner.followed.version < inner.state.view.version {
                 inner.followed = inner.state.view.clone();
             }
-            hear(&mut inner.followed)
+            update(&mut inner.followed)
         };
         self.publish();
-        heard
+        updated
     }
 
-    /// What this head has heard as a follower, where that is newer than what it has applied.
+    /// What this head has received as a follower, where that is newer than what it has applied.
     pub fn followed(&self) -> Option<View> {
         let inner = self.lock();
         (inner.followed.version > inner.state.view.version).then(|| inner.followed.clone())
@@ -133,14 +133,14 @@
         self.lock().followed.version
     }
 
-    /// What was heard as a follower is not needed beside a newer state of its own.
+    /// What was received as a follower is not needed beside a newer state of its own.
     fn forget_followed(inner: &mut Inner) {
         if inner.followed.version > 0 && inner.followed.version <= inner.state.view.version {
             inner.followed = View::default();
         }
     }
 
-    /// Who keeps, as last applied.
+    /// The membership, as last applied.
     pub fn membership(&self) -> Membership {
         self.lock().membership.clone()
     }
@@ -165,8 +165,8 @@
     Ok(Inner::replay(snapshot, log, upto)?.state)
 }
 
-fn read(bytes: &[u8]) -> Result<State, String> {
-    record::open(Kind::Snapshot, bytes).map_err(|spoilt| format!("state of a snapshot: {spoilt}"))
+fn decode_state(bytes: &[u8]) -> Result<State, String> {
+    record::open(RecordType::Snapshot, bytes).map_err(|corrupt| format!("state of a snapshot: {corrupt}"))
 }
 
 impl RaftSnapshotBuilder<Types> for Machine {
@@ -175,7 +175,7 @@
             let inner = self.lock();
             (inner.state.clone(), inner.applied, inner.membership.clone())
         };
-        let bytes = record::seal(Kind::Snapshot, &state);
+        let bytes = record::seal(RecordType::Snapshot, &state);
         let bytes = bytes.map_err(|error| fault(ErrorVerb::Write, &error.to_string()))?;
         let at = applied.map_or(0, |applied| applied.index);
         let term = applied.map_or(0, |applied| applied.leader_id.term);
@@ -228,7 +228,7 @@
         snapshot: Box<Cursor<Vec<u8>>>,
     ) -> Result<(), StorageError> {
         let bytes = snapshot.into_inner();
-        let state = read(&bytes).map_err(|what| fault(ErrorVerb::Read, &what))?;
+        let state = decode_state(&bytes).map_err(|what| fault(ErrorVerb::Read, &what))?;
         let saved = self.disk.snapshot(meta, &bytes).await;
         saved.map_err(|what| fault(ErrorVerb::Write, &what))?;
         super::disk::point("after a snapshot is taken over");
--- a/crates/head/src/fleet/keeper.rs
+++ b/crates/head/src/fleet/member.rs
@@ -1,37 +1,38 @@
-//! One head's part in the fleet: it keeps the state with the others or follows them, and says how it stands.
+//! One head as a member of the fleet: a voter or a follower, and its status.
 
 use super::change::Waiting;
 use super::disk::{Disk, Held, Identity};
+use super::environment::{Dial, now, random};
 use super::link::{Links, protocol};
 use super::log::Log;
 use super::machine::Machine;
-use super::outside::{Dial, now, random};
 use super::settings::Settings;
-use super::types::{Call, Known, LogId, Place, Raft, Reply, Status, Vote};
+use super::types::{Call, LogId, Raft, Reply, Status, Vote, VoterAddress, VoterStatus};
 use openraft::raft::AppendEntriesResponse;
 use openraft::{Config, ServerState, SnapshotPolicy};
-use sedgerun_fleet::election::{Election, Waits};
-use sedgerun_fleet::follow::{Follower, Followers, Keepers, Teller};
+use sedgerun_fleet::election::{Election, ElectionTimeouts};
+use sedgerun_fleet::follow::{Follower, Followers, Peer, Voters};
 use sedgerun_fleet::greeting::{Greeting, StoreId, origin};
-use sedgerun_fleet::memory::{Life, Mark};
+use sedgerun_fleet::watermark::{Incarnation, Watermark};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use tokio::sync::mpsc;
 
-/// Between signs of life of a leader, in milliseconds.
+/// Between heartbeats of a leader, in milliseconds.
 const HEARTBEAT_MS: u64 = 100;
-/// For so long after a sign of life of a leader no other gets this keeper's vote, in milliseconds.
+/// For so long after a heartbeat of a leader no other gets this voter's vote, in milliseconds.
 const LEASE_MS: u64 = 400;
-/// When a keeper stands for election. The silence is longer than the lease, so that an election is not refused
-/// where the last sign of life came to another keeper a little later.
-const WAITS: Waits = Waits { silence: 500, spread: 250, again: 300 };
-/// Entries between snapshots, and those kept behind one for keepers that are a little late.
+/// When a voter campaigns. The silence is longer than the lease, so that an election is not refused
+/// where the last heartbeat came to another voter a little later.
+const ELECTION_TIMEOUTS: ElectionTimeouts =
+    ElectionTimeouts { leader_timeout_ms: 500, jitter_ms: 250, retry_ms: 300 };
+/// Entries between snapshots, and those kept behind one for voters that are a little late.
 const SNAPSHOT_EVERY: u64 = 5000;
 const SNAPSHOT_KEEP: u64 = 1000;
 
-/// Bytes of one piece of a snapshot.
+/// Bytes of one chunk of a snapshot.
 const SNAPSHOT_CHUNK: u64 = 512 << 10;
 
 /// Entries between snapshots; tests ask for fewer.
@@ -42,7 +43,7 @@
     SNAPSHOT_EVERY
 }
 
-/// Bytes of one piece of a snapshot; tests ask for fewer.
+/// Bytes of one chunk of a snapshot; tests ask for fewer.
 fn snapshot_chunk() -> u64 {
     fail::fail_point!("bytes of a piece", |asked| asked
         .and_then(|asked| asked.parse().ok())
@@ -54,13 +55,13 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Unsettled(pub String);
 
-/// A head's part in the fleet.
-pub struct Keeper {
+/// A head as a member of the fleet: a voter or a follower.
+pub struct Member {
     /// The protocol.
     pub raft: Raft,
     /// The state.
     pub machine: Machine,
-    /// The ways to others.
+    /// Connections to other heads.
     pub links: Links,
     /// What it is set up with.
     pub settings: Settings,
@@ -72,10 +73,10 @@
     /// Frames and greetings refused.
     pub refused: AtomicU64,
     /// The others have been asked what this store acknowledged: it votes and acknowledges.
-    pub awake: AtomicBool,
-    /// This store was a keeper, and others have taken its place.
-    pub out: AtomicBool,
-    /// Changes of keepers made as leader.
+    pub recovered: AtomicBool,
+    /// This store was a voter, and others have taken its place.
+    pub removed: AtomicBool,
+    /// Membership changes made as leader.
     pub repairs: AtomicU64,
     election: Mutex<Election>,
     follower: Mutex<Follower>,
@@ -90,20 +91,20 @@
 }
 
 /// How far the store is that calls so, by its own word: its vote is saved, and what it sends is synced.
-fn caller(call: &Call) -> Option<Mark> {
+fn caller_watermark(call: &Call) -> Option<Watermark> {
     let position = |at: LogId| (at.leader_id.term, at.index);
     match call {
         Call::Append(rpc) => {
             let last = rpc.entries.last().map(|entry| entry.log_id).or(rpc.prev_log_id);
-            Some(Mark { vote: rpc.vote.leader_id().term, last: last.map_or((0, 0), position) })
+            Some(Watermark { vote: rpc.vote.leader_id().term, last: last.map_or((0, 0), position) })
         }
-        Call::Vote(rpc) => Some(Mark { vote: rpc.vote.leader_id().term, last: (0, 0) }),
+        Call::Vote(rpc) => Some(Watermark { vote: rpc.vote.leader_id().term, last: (0, 0) }),
         _ => None,
     }
 }
 
-impl Keeper {
-    /// Takes up the life of a store; others reach this head at an address.
+impl Member {
+    /// Starts a new incarnation of a store; others reach this head at an address.
     pub async fn start(
         settings: Settings,
         head: &str,
@@ -111,9 +112,9 @@
         (disk, held): (Disk, Held),
         dial: Arc<dyn Dial>,
         changes: mpsc::Sender<Waiting>,
-    ) -> Result<Keeper, String> {
-        let woke = held.mark();
-        let Held { identity, vote, committed, purged, log, memory, snapshot, followed } = held;
+    ) -> Result<Member, String> {
+        let initial_watermark = held.watermark();
+        let Held { identity, vote, committed, purged, log, watermarks, snapshot, followed } = held;
         let own = Greeting {
             fleet: settings.name.clone(),
             secret: settings.secret.clone(),
@@ -121,14 +122,14 @@
             store: Some(identity.store),
             zone: settings.zone.clone(),
             address: address.to_string(),
-            life: Life { count: identity.life, birth: random()? },
-            woke,
+            incarnation: Incarnation { count: identity.incarnation, nonce: random()? },
+            initial_watermark,
             origin: identity.origin,
         };
-        let links = Links::new(own, settings.routes(), memory, dial);
+        let links = Links::new(own, settings.routes(), watermarks, dial);
         let machine = Machine::new(disk.clone(), snapshot, &log, committed, followed)?;
         // Guards against a leader that goes on where it was: what it sent and had not synced is gone, and it would
-        // put other entries in the same places. A restarted process is a new life, and stands for election anew.
+        // put other entries in the same places. A restarted process is a new incarnation, and campaigns anew.
         let vote = vote.map(|vote| match vote.leader_id().voted_for() {
             Some(own) if own == identity.store => Vote { committed: false, ..vote },
             _ => vote,
@@ -144,16 +145,16 @@
             max_in_snapshot_log_to_keep: SNAPSHOT_KEEP.min(snapshot_every() / 5),
             snapshot_max_chunk_size: snapshot_chunk(),
             install_snapshot_timeout: 2000,
-            // When to stand is decided here.
+            // When to campaign is decided here.
             enable_elect: false,
             ..Config::default()
         };
         let config = Arc::new(config.validate().map_err(|error| error.to_string())?);
         let raft = Raft::new(identity.store, config, links.clone(), log.clone(), machine.clone());
         let raft = raft.await.map_err(|error| error.to_string())?;
-        let seeds = settings.keepers.iter();
-        let seeds = seeds.map(|(head, at)| Teller { head: head.clone(), address: at.to_string() }).collect();
-        Ok(Keeper {
+        let seeds = settings.voters.iter();
+        let seeds = seeds.map(|(head, at)| Peer { head: head.clone(), address: at.to_string() }).collect();
+        Ok(Member {
             raft,
             machine,
             links,
@@ -162,27 +163,27 @@
             log,
             identity: tokio::sync::Mutex::new(identity),
             refused: AtomicU64::new(0),
-            awake: AtomicBool::default(),
-            out: AtomicBool::default(),
+            recovered: AtomicBool::default(),
+            removed: AtomicBool::default(),
             repairs: AtomicU64::new(0),
-            election: Mutex::new(Election::new(WAITS, random()?, now())),
+            election: Mutex::new(Election::new(ELECTION_TIMEOUTS, random()?, now())),
             follower: Mutex::new(Follower::new(head, seeds, random()?)),
             followers: Mutex::default(),
             changes,
         })
     }
 
-    /// When to stand.
+    /// When to campaign.
     pub fn election(&self) -> MutexGuard<'_, Election> {
         lock(&self.election)
     }
 
-    /// From whom this head hears.
+    /// State of following an upstream.
     pub fn follower(&self) -> MutexGuard<'_, Follower> {
         lock(&self.follower)
     }
 
-    /// Who hears from this head.
+    /// The followers that this head serves.
     pub fn followers(&self) -> MutexGuard<'_, Followers> {
         lock(&self.followers)
     }
@@ -190,10 +191,10 @@
     /// Answers a call of another head, which said this of itself.
     pub async fn answer(&self, call: Call, from: &Greeting) -> Reply {
         let call = match call {
-            // Whoever keeps with us is of our fleet: from its first word of the protocol on.
+            // Whoever votes with us is of our fleet: from its first word of the protocol on.
             Call::Append(_) | Call::Vote(_) | Call::Snapshot(_) => {
                 // Guards against a promise on top of what an older copy of the disk has forgotten.
-                if self.links.is_old() || !self.awake.load(Ordering::SeqCst) {
+                if self.links.is_rolled_back() || !self.recovered.load(Ordering::SeqCst) {
                     return Reply::Refused(
                         "has just started, and asks the others what it has acknowledged".into(),
                     );
@@ -201,20 +202,20 @@
                 if let Err(what) = self.adopt(from.origin).await {
                     return Reply::Refused(what);
                 }
-                let (begun, caller) = (now(), caller(&call));
+                let (begun, caller) = (now(), caller_watermark(&call));
                 match protocol(&self.raft, call).await {
                     Ok(reply) => {
                         super::disk::point("before the answer to a leader");
                         if let Reply::Append(answer) = &reply
                             && !matches!(answer, AppendEntriesResponse::HigherVote(_))
                         {
-                            self.election().heard(begun);
-                            self.out.store(false, Ordering::SeqCst);
+                            self.election().on_heartbeat(begun);
+                            self.removed.store(false, Ordering::SeqCst);
                         }
                         // A leader counts itself, too: what it sends it has synced, and a copy of its disk from
                         // before that is as old as any other's. The model in crates/fleet/tests found this.
-                        if let (Some(store), Some(mark)) = (from.store, caller) {
-                            self.links.remember(store, from.life, mark);
+                        if let (Some(store), Some(watermark)) = (from.store, caller) {
+                            self.links.observe(store, from.incarnation, watermark);
                         }
                         return reply;
                     }
@@ -225,7 +226,7 @@
         };
         match call {
             Call::Change(change, left) => self.lead(change, left).await,
-            Call::Make(change) => match self.change(change).await {
+            Call::Propose(change) => match self.change(change).await {
                 Ok(outcome) => Reply::Changed(outcome),
                 Err(why) => Reply::Refused(why.0),
             },
@@ -238,10 +239,10 @@
                 Err(what) => Reply::Refused(what),
             },
             Call::Silent(last) => Reply::Silent(self.raft_id(), self.is_silent(last)),
-            Call::Follow(lack) => self.tell(*lack, from).await,
-            Call::Piece(since, begun) => {
-                Reply::Piece(self.machine.look(|view| view.piece(since, begun, super::follow::PIECE)))
-            }
+            Call::Follow(request) => self.serve_update(*request, from).await,
+            Call::Chunk(since, first_version) => Reply::Chunk(
+                self.machine.read(|view| view.chunk(since, first_version, super::follow::CHUNK_BYTES)),
+            ),
             _ => Reply::Status(Box::new(self.status())),
         }
     }
@@ -257,7 +258,7 @@
         match (identity.origin, theirs) {
             (None, Some(theirs)) => {
                 let adopted = Identity { origin: Some(theirs), ..identity.clone() };
-                self.disk.put(sedgerun_fleet::record::Kind::Identity, "identity", &adopted).await?;
+                self.disk.put(sedgerun_fleet::record::RecordType::Identity, "identity", &adopted).await?;
                 *identity = adopted;
                 self.links.set_origin(theirs);
                 Ok(())
@@ -267,16 +268,16 @@
         }
     }
 
-    /// Begins the fleet with the keepers of the settings: each must answer under its name, and hold nothing.
+    /// Begins the fleet with the voters of the settings: each must answer under its name, and hold nothing.
     /// Begun twice with the same stores, it is begun once.
     pub async fn begin(&self) -> Result<(), String> {
         let own = self.links.own();
-        if !self.settings.keepers.contains_key(&own.head) {
+        if !self.settings.voters.contains_key(&own.head) {
             return Err(format!("{} is not among the keepers of its own settings", own.head));
         }
-        let mut members: BTreeMap<StoreId, Place> = BTreeMap::new();
+        let mut members: BTreeMap<StoreId, VoterAddress> = BTreeMap::new();
         let mut origins = Vec::new();
-        for (name, at) in &self.settings.keepers {
+        for (name, at) in &self.settings.voters {
             let greeting = if *name == own.head {
                 own.clone()
             } else {
@@ -288,7 +289,7 @@
             }
             let store = greeting.store.ok_or(format!("keeper {name} has no store"))?;
             let (head, address, zone) = (name.clone(), at.to_string(), greeting.zone);
-            members.insert(store, Place { head, address, zone });
+            members.insert(store, VoterAddress { head, address, zone });
             origins.push((name, greeting.origin));
         }
         let fresh = origin(members.keys().copied());
@@ -306,48 +307,50 @@
     pub fn votes(&self) -> bool {
         let metrics = self.raft.metrics().borrow().clone();
         let voter = metrics.membership_config.membership().voter_ids().any(|voter| voter == metrics.id);
-        // One whose disk has failed keeps nothing any more and hears nothing by the protocol: it follows.
-        voter && !self.out.load(Ordering::SeqCst) && metrics.running_state.is_ok()
+        // One whose disk has failed stores nothing any more and hears nothing by the protocol: it follows.
+        voter && !self.removed.load(Ordering::SeqCst) && metrics.running_state.is_ok()
     }
 
     /// Whether it leads, with a majority heard lately.
     pub fn leads(&self) -> bool {
         let metrics = self.raft.metrics().borrow().clone();
-        let lately = metrics.millis_since_quorum_ack.is_some_and(|since| since < WAITS.silence);
+        let lately =
+            metrics.millis_since_quorum_ack.is_some_and(|since| since < ELECTION_TIMEOUTS.leader_timeout_ms);
         metrics.state == ServerState::Leader && lately
     }
 
-    /// Who keeps, as this head has it from the protocol or was told.
-    pub fn keepers(&self) -> Keepers {
+    /// The voters, as this head has them from the protocol or from its upstream.
+    pub fn voters(&self) -> Voters {
         let membership = self.machine.membership();
-        let all = membership.membership().nodes().map(|(store, place)| {
-            let (head, address) = (place.head.clone(), place.address.clone());
-            (*store, Teller { head, address })
+        let by_store = membership.membership().nodes().map(|(store, voter)| {
+            let (head, address) = (voter.head.clone(), voter.address.clone());
+            (*store, Peer { head, address })
         });
-        let own = Keepers { at: membership.log_id().map_or(0, |at| at.index), all: all.collect() };
-        let told = self.follower().keepers.clone();
-        if told.at > own.at { told } else { own }
+        let own =
+            Voters { log_index: membership.log_id().map_or(0, |at| at.index), by_store: by_store.collect() };
+        let told = self.follower().voters.clone();
+        if told.log_index > own.log_index { told } else { own }
     }
 
     /// Where the leader is, as far as this head knows; `None` where that is itself, or nobody.
-    pub fn leader(&self) -> Option<Teller> {
+    pub fn leader(&self) -> Option<Peer> {
         if !self.votes() {
             return self.follower().leader.clone();
         }
         let metrics = self.raft.metrics().borrow().clone();
         let leader = metrics.current_leader.filter(|leader| *leader != metrics.id)?;
-        let place = metrics.membership_config.membership().get_node(&leader)?;
-        Some(Teller { head: place.head.clone(), address: place.address.clone() })
+        let voter = metrics.membership_config.membership().get_node(&leader)?;
+        Some(Peer { head: voter.head.clone(), address: voter.address.clone() })
     }
 
     /// Over which heads this one hears of changes, and how old what it holds may be.
-    pub fn hears(&self) -> (Vec<String>, Option<u64>) {
+    pub fn path_and_age(&self) -> (Vec<String>, Option<u64>) {
         if self.votes() {
-            let silent = if self.leads() { 0 } else { self.election().silent(now()) };
+            let silent = if self.leads() { 0 } else { self.election().leader_silence(now()) };
             return (vec![self.links.own().head], Some(silent));
         }
         let follower = self.follower();
-        (follower.lineage(), follower.age(now()))
+        (follower.path(), follower.age(now()))
     }
 
     fn role(&self, stopped: bool, state: ServerState, age: Option<u64>) -> &'static str {
@@ -366,23 +369,24 @@
         let metrics = self.raft.metrics().borrow().clone();
         let own = self.links.own();
         let membership = metrics.membership_config.membership();
-        let voters: Vec<StoreId> = membership.voter_ids().collect();
-        let keepers = membership.nodes().map(|(store, place)| {
+        let voter_ids: Vec<StoreId> = membership.voter_ids().collect();
+        let voters = membership.nodes().map(|(store, voter)| {
             let matched = metrics.replication.as_ref().and_then(|all| all.get(store).copied().flatten());
-            let at = self.links.route(&place.head, &place.address);
-            Known {
-                head: place.head.clone(),
+            let at = self.links.route(&voter.head, &voter.address);
+            VoterStatus {
+                head: voter.head.clone(),
                 store: *store,
-                address: at.map_or(place.address.clone(), |at| at.to_string()),
-                zone: place.zone.clone(),
-                votes: voters.contains(store),
+                address: at.map_or(voter.address.clone(), |at| at.to_string()),
+                zone: voter.zone.clone(),
+                votes: voter_ids.contains(store),
                 matched: matched.map(|matched| matched.index),
             }
         });
-        let keepers: Vec<Known> = keepers.collect();
-        let old = self.links.is_old().then(|| "an older copy of its disk: remove its folder".to_owned());
+        let voters: Vec<VoterStatus> = voters.collect();
+        let old =
+            self.links.is_rolled_back().then(|| "an older copy of its disk: remove its folder".to_owned());
         let trouble = metrics.running_state.as_ref().err().map(ToString::to_string).or(old);
-        let (lineage, age) = self.hears();
+        let (path, age) = self.path_and_age();
         let syncs = &self.disk.syncs;
         let (count, total) = (syncs.count.load(Ordering::Relaxed), syncs.total.load(Ordering::Relaxed));
         let leads = metrics.state == ServerState::Leader;
@@ -392,14 +396,14 @@
             fleet: own.fleet,
             head: own.head,
             store: metrics.id,
-            life: own.life.count,
+            incarnation: own.incarnation.count,
             term: metrics.current_term,
-            version: self.machine.look(|view| view.version),
+            version: self.machine.read(|view| view.version),
             applied: metrics.last_applied.map_or(0, |applied| applied.index),
             last: metrics.last_log_index.unwrap_or(0),
-            keepers,
-            followers: self.followers().all(now()),
-            lineage,
+            voters,
+            followers: self.followers().subtree(now()),
+            path,
             age,
             repairs: self.repairs.load(Ordering::Relaxed),
             syncs: (count, syncs.longest.load(Ordering::Relaxed), total / count.max(1)),
--- a/crates/head/src/fleet/mod.rs
+++ b/crates/head/src/fleet/mod.rs
@@ -3,29 +3,29 @@
 
 mod api;
 mod change;
+pub mod client;
 pub mod disk;
+pub mod environment;
 mod follow;
-mod keeper;
+pub mod force_recovery;
 mod link;
 mod log;
 mod machine;
-mod mend;
+mod member;
 pub mod node;
-pub mod outside;
-pub mod recover;
+mod recovery;
+mod repair;
 mod serve;
 pub mod settings;
-pub mod tell;
 pub mod types;
-mod wake;
 
 use crate::config::Config;
 use crate::hub::Hub;
 use crate::tenants::{Export, Registry};
-use keeper::Keeper;
-pub use keeper::Unsettled;
+use environment::{Tcp, random};
+use member::Member;
+pub use member::Unsettled;
 use node::Node;
-use outside::{Tcp, random};
 use sedgerun_fleet::state::{Change, Command, Outcome};
 use sedgerun_fleet::view::{Fields, Tenant};
 use sedgerun_settings::Pairs;
@@ -45,7 +45,7 @@
 /// The serving thread's end of the fleet.
 pub struct Fleet {
     runtime: Handle,
-    keeper: Arc<Keeper>,
+    member: Arc<Member>,
     /// The version that the front works with.
     in_force: watch::Sender<u64>,
 }
@@ -55,7 +55,7 @@
     /// or with the address.
     pub fn start(settings: &Settings, head: &str) -> Result<Fleet, String> {
         let (disk, held) = disk::open(&settings.dir)?;
-        let (store, life) = (held.identity.store, held.identity.life);
+        let (store, incarnation) = (held.identity.store, held.identity.incarnation);
         let bound = std::net::TcpListener::bind(settings.listen)
             .and_then(|listener| listener.set_nonblocking(true).map(|()| listener))
             .map_err(|error| format!("fleet.listen: cannot bind {}: {error}", settings.listen))?;
@@ -82,7 +82,7 @@
                 };
                 match node {
                     Ok((node, listener)) => {
-                        let _ = started.send(Ok((Handle::current(), Arc::clone(&node.keeper))));
+                        let _ = started.send(Ok((Handle::current(), Arc::clone(&node.member))));
                         serve::serve(node, listener).await;
                     }
                     Err(what) => drop(started.send(Err(what))),
@@ -91,16 +91,16 @@
         };
         let thread = std::thread::Builder::new().name("fleet".into()).spawn(run);
         thread.map_err(|error| format!("fleet: no thread: {error}"))?;
-        let (runtime, keeper) = starting.recv().map_err(|_| "fleet: ended at its start".to_owned())??;
-        tracing::info!("fleet: {head} holds store {store:016x} in its life {life}");
-        Ok(Fleet { runtime, keeper, in_force: watch::Sender::new(0) })
+        let (runtime, member) = starting.recv().map_err(|_| "fleet: ended at its start".to_owned())??;
+        tracing::info!("fleet: {head} holds store {store:016x} in its life {incarnation}");
+        Ok(Fleet { runtime, member, in_force: watch::Sender::new(0) })
     }
 
-    /// Makes a change: settled once it is synced at a majority of the keepers. On return this head's own front
+    /// Makes a change: settled once it is synced at a majority of the voters. On return this head's own front
     /// works with it.
     pub async fn change(&self, change: Change) -> Result<Outcome, Unsettled> {
-        let keeper = Arc::clone(&self.keeper);
-        let settled = self.on_fleet(async move { keeper.change(change).await }).await?;
+        let member = Arc::clone(&self.member);
+        let settled = self.on_fleet(async move { member.change(change).await }).await?;
         if let Outcome::Done { version, .. } = settled {
             // Late or not, it is settled: what the caller hears stays true.
             let _ = self.reach(version).await;
@@ -108,23 +108,23 @@
         Ok(settled)
     }
 
-    /// Bans a brick at all heads, or lifts that ban.
-    pub async fn ban(&self, brick: &str, banned: bool) -> Result<Outcome, Unsettled> {
-        let command = Command::Ban { brick: brick.to_owned(), banned };
+    /// Bans a backend at all heads, or lifts that ban.
+    pub async fn ban(&self, backend: &str, banned: bool) -> Result<Outcome, Unsettled> {
+        let command = Command::Ban { backend: backend.to_owned(), banned };
         self.change(change(None, None, command).map_err(Unsettled)?).await
     }
 
     /// Waits until the front works with all that was settled when it was asked; the version.
     pub async fn latest(&self) -> Result<u64, Unsettled> {
-        let keeper = Arc::clone(&self.keeper);
-        let version = self.on_fleet(async move { keeper.latest().await }).await?;
+        let member = Arc::clone(&self.member);
+        let version = self.on_fleet(async move { member.latest().await }).await?;
         self.reach(version).await
     }
 
     /// Waits until the front works with a version.
     pub async fn at_least(&self, version: u64) -> Result<u64, Unsettled> {
-        let keeper = Arc::clone(&self.keeper);
-        self.on_fleet(async move { keeper.at_least(version, REACH).await }).await?;
+        let member = Arc::clone(&self.member);
+        self.on_fleet(async move { member.at_least(version, REACH).await }).await?;
         self.reach(version).await
     }
 
@@ -135,22 +135,22 @@
 
     /// The version at which a tenant was last changed; 0 for none there.
     pub fn tenant_version(&self, tenant: &str) -> u64 {
-        self.keeper.machine.look(|view| view.tenants.get(tenant).map_or(0, |tenant| tenant.version))
+        self.member.machine.read(|view| view.tenants.get(tenant).map_or(0, |tenant| tenant.version))
     }
 
-    /// The bricks that are banned at all heads, each with the version since when.
+    /// The backends that are banned at all heads, each with the version since when.
     pub fn bans(&self) -> BTreeMap<String, u64> {
-        self.keeper.machine.look(|view| view.bans.clone())
+        self.member.machine.read(|view| view.bans.clone())
     }
 
     /// How this head stands, as pairs of a name and a figure.
     pub fn figures(&self) -> Vec<(&'static str, u64)> {
-        let status = self.keeper.status();
+        let status = self.member.status();
         let lag = status.age.unwrap_or(u64::MAX);
         vec![
             ("fleet_term", status.term),
             ("fleet_is_leader", u64::from(status.role == "leader")),
-            ("fleet_is_keeper", u64::from(self.keeper.votes())),
+            ("fleet_is_keeper", u64::from(self.member.votes())),
             ("fleet_stopped", u64::from(status.role == "stopped")),
             ("fleet_version", status.version),
             ("fleet_age_milliseconds", lag),
@@ -183,12 +183,12 @@
     /// Brings what the fleet holds to this head's front for as long as it is polled. It begins with what the
     /// store held at the start, whether or not a majority is there.
     pub async fn follow(self: Rc<Self>, config: Rc<Config>, tenants: Rc<RefCell<Registry>>, hub: Rc<Hub>) {
-        let mut versions = self.keeper.machine.version();
+        let mut versions = self.member.machine.version();
         let mut held: BTreeMap<String, u64> = BTreeMap::new();
         let mut banned: BTreeMap<String, u64> = BTreeMap::new();
         loop {
             versions.borrow_and_update();
-            let (version, changed, gone, bans) = self.keeper.machine.look(|view| {
+            let (version, changed, gone, bans) = self.member.machine.read(|view| {
                 let differs = |(name, tenant): &(&String, &Tenant)| held.get(*name) != Some(&tenant.version);
                 let changed = view.tenants.iter().filter(differs);
                 let changed: Vec<(String, Tenant)> =
--- a/crates/head/src/fleet/node.rs
+++ b/crates/head/src/fleet/node.rs
@@ -1,11 +1,11 @@
 //! One head's part in a fleet with all that it does by itself, on whatever carries it: real sockets and a real disk,
-//! or those of a World.
+//! or those of a simulator.
 
-use super::change::MOST_WAITING;
+use super::change::MAX_WAITING;
 use super::disk::{Disk, Held};
-use super::keeper::{Keeper, Unsettled};
-use super::outside::{Dial, Wire};
-use super::serve::converse;
+use super::environment::{Connection, Dial};
+use super::member::{Member, Unsettled};
+use super::serve::serve_connection;
 use super::settings::Settings;
 use super::types::Status;
 use openraft::ServerState;
@@ -20,13 +20,13 @@
 
 /// A head's part in a fleet. Dropped, it does nothing more.
 pub struct Node {
-    /// What it is.
-    pub(super) keeper: Arc<Keeper>,
+    /// The head as a member.
+    pub(super) member: Arc<Member>,
     tasks: JoinSet<()>,
 }
 
 impl Node {
-    /// Takes up the life of a store; others reach this head at an address.
+    /// Starts a new incarnation of a store; others reach this head at an address.
     pub async fn start(
         settings: Settings,
         head: &str,
@@ -34,85 +34,85 @@
         (disk, held): (Disk, Held),
         dial: Arc<dyn Dial>,
     ) -> Result<Node, String> {
-        let (changes, waiting) = mpsc::channel(MOST_WAITING);
-        let keeper = Keeper::start(settings, head, address, (disk, held), dial, changes).await?;
-        let keeper = Arc::new(keeper);
+        let (changes, waiting) = mpsc::channel(MAX_WAITING);
+        let member = Member::start(settings, head, address, (disk, held), dial, changes).await?;
+        let member = Arc::new(member);
         let mut tasks = JoinSet::new();
-        tasks.spawn(Arc::clone(&keeper).write_together(waiting));
-        tasks.spawn(watch_role(Arc::clone(&keeper)));
-        tasks.spawn(Arc::clone(&keeper).stand());
-        let waking = Arc::clone(&keeper);
+        tasks.spawn(Arc::clone(&member).write_together(waiting));
+        tasks.spawn(watch_role(Arc::clone(&member)));
+        tasks.spawn(Arc::clone(&member).run_elections());
+        let recovering = Arc::clone(&member);
         tasks.spawn(async move {
-            waking.wake().await;
-            waking.remember().await;
+            recovering.recover().await;
+            recovering.save_watermarks().await;
         });
-        let following = Arc::clone(&keeper);
+        let following = Arc::clone(&member);
         tasks.spawn(async move { following.follow().await });
-        let keeping = Arc::clone(&keeper);
-        tasks.spawn(async move { keeping.keep_followed().await });
-        let mending = Arc::clone(&keeper);
-        tasks.spawn(async move { mending.mend().await });
-        Ok(Node { keeper, tasks })
+        let saving = Arc::clone(&member);
+        tasks.spawn(async move { saving.save_followed().await });
+        let repairing = Arc::clone(&member);
+        tasks.spawn(async move { repairing.run_repair().await });
+        Ok(Node { member, tasks })
     }
 
     /// Takes a connection that another head has made.
-    pub fn accept(&mut self, wire: Wire) {
-        let keeper = Arc::clone(&self.keeper);
+    pub fn accept(&mut self, connection: Connection) {
+        let member = Arc::clone(&self.member);
         while self.tasks.try_join_next().is_some() {}
-        self.tasks.spawn(async move { drop(converse(&keeper, wire).await) });
+        self.tasks.spawn(async move { drop(serve_connection(&member, connection).await) });
     }
 
-    /// Ends it at once. What the consensus library has begun ends by itself, and finds no disk and no way to others.
+    /// Ends it at once. What the consensus library has begun ends by itself, and finds no disk and no connection.
     pub fn end(self) {
-        let keeper = Arc::clone(&self.keeper);
+        let member = Arc::clone(&self.member);
         drop(self);
-        tokio::spawn(async move { drop(keeper.raft.shutdown().await) });
+        tokio::spawn(async move { drop(member.raft.shutdown().await) });
     }
 
-    /// A way to ask it that does not hold it.
-    pub fn asked(&self) -> Asked {
-        Asked(Arc::clone(&self.keeper))
+    /// A client that does not keep it running.
+    pub fn client(&self) -> NodeClient {
+        NodeClient(Arc::clone(&self.member))
     }
 
     /// Its store.
     pub fn store(&self) -> StoreId {
-        self.keeper.raft_id()
+        self.member.raft_id()
     }
 
     /// The term in which it leads, by its own account.
     pub fn leads_in(&self) -> Option<u64> {
-        let metrics = self.keeper.raft.metrics().borrow().clone();
+        let metrics = self.member.raft.metrics().borrow().clone();
         (metrics.state == ServerState::Leader).then_some(metrics.current_term)
     }
 
     /// How it stands.
     pub fn status(&self) -> Status {
-        self.keeper.status()
+        self.member.status()
     }
 
-    /// Looks at what it holds.
-    pub fn look<T>(&self, look: impl FnOnce(&View) -> T) -> T {
-        self.keeper.machine.look(look)
+    /// Reads what it holds.
+    pub fn read<T>(&self, read: impl FnOnce(&View) -> T) -> T {
+        self.member.machine.read(read)
     }
 }
 
 /// Asks a head as its clients do.
-pub struct Asked(Arc<Keeper>);
+pub struct NodeClient(Arc<Member>);
 
-impl Asked {
+impl NodeClient {
     /// Makes a change.
     pub async fn change(&self, change: Change) -> Result<Outcome, Unsettled> {
         self.0.change(change).await
     }
 
-    /// Begins the fleet with the keepers of the settings.
+    /// Begins the fleet with the voters of the settings.
     pub async fn begin(&self) -> Result<(), String> {
         self.0.begin().await
     }
 
     /// What it holds, settled or not by now.
     pub fn view(&self) -> View {
-        self.0.machine.look(View::clone)
+        self.0.machine.read(View::clone)
     }
 
     /// All that was settled when it was asked.
@@ -123,11 +123,11 @@
 }
 
 /// Says each change of this head's part in one line.
-async fn watch_role(keeper: Arc<Keeper>) {
+async fn watch_role(member: Arc<Member>) {
     let mut said = (String::new(), 0, None);
     let mut trouble = false;
     loop {
-        let status = keeper.status();
+        let status = member.status();
         let now = (status.role, status.term, status.leader);
         if now != said {
             let leader = now.2.as_deref().unwrap_or("nobody");
--- a/crates/head/src/fleet/serve.rs
+++ b/crates/head/src/fleet/serve.rs
@@ -1,12 +1,12 @@
 //! The listener for other heads.
 
-use super::keeper::Keeper;
+use super::environment::Connection;
 use super::link::{GREETING, receive, send};
+use super::member::Member;
 use super::node::Node;
-use super::outside::Wire;
 use super::types::Call;
 use sedgerun_fleet::greeting::{Greeting, Refusal};
-use sedgerun_fleet::record::Kind;
+use sedgerun_fleet::record::RecordType;
 use std::io;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -15,7 +15,7 @@
 use tokio::sync::Semaphore;
 
 /// The most heads and command lines that are connected at once.
-const MOST_CALLERS: usize = 128;
+const MAX_CALLERS: usize = 128;
 /// A connection on which nothing is asked for so long is closed.
 const IDLE: Duration = Duration::from_secs(60);
 /// Time in which an answer must have left.
@@ -23,49 +23,49 @@
 
 /// Accepts heads for as long as the future is polled.
 pub async fn serve(node: Node, listener: TcpListener) {
-    let room = Arc::new(Semaphore::new(MOST_CALLERS));
+    let room = Arc::new(Semaphore::new(MAX_CALLERS));
     loop {
         let Ok((stream, peer)) = listener.accept().await else {
             tokio::time::sleep(Duration::from_millis(20)).await;
             continue;
         };
         // Guards against callers that connect and stay: those past the bound are closed at once.
-        let Ok(place) = Arc::clone(&room).try_acquire_owned() else { continue };
-        let keeper = Arc::clone(&node.keeper);
+        let Ok(permit) = Arc::clone(&room).try_acquire_owned() else { continue };
+        let member = Arc::clone(&node.member);
         tokio::spawn(async move {
-            let conversed = match stream.set_nodelay(true) {
-                Ok(()) => converse(&keeper, Box::new(stream)).await,
+            let served = match stream.set_nodelay(true) {
+                Ok(()) => serve_connection(&member, Box::new(stream)).await,
                 Err(error) => Err(error),
             };
-            if let Err(error) = conversed {
-                let spoilt =
+            if let Err(error) = served {
+                let corrupt =
                     matches!(error.kind(), io::ErrorKind::InvalidData | io::ErrorKind::PermissionDenied);
-                if spoilt {
-                    let refused = keeper.refused.fetch_add(1, Ordering::Relaxed) + 1;
+                if corrupt {
+                    let refused = member.refused.fetch_add(1, Ordering::Relaxed) + 1;
                     tracing::warn!("fleet: {peer}: {error}; connection closed, {refused} so far");
                 }
             }
-            drop(place);
+            drop(permit);
         });
     }
 }
 
 /// Answers one head for as long as it asks.
-pub async fn converse(keeper: &Keeper, mut stream: Wire) -> io::Result<()> {
+pub async fn serve_connection(member: &Member, mut stream: Connection) -> io::Result<()> {
     let late = |_| io::Error::from(io::ErrorKind::TimedOut);
-    let greeting = tokio::time::timeout(GREETING, receive(&mut stream, Kind::Greeting)).await;
+    let greeting = tokio::time::timeout(GREETING, receive(&mut stream, RecordType::Greeting)).await;
     let mut theirs: Greeting = greeting.map_err(late)??;
-    let own = keeper.links.own();
-    let admitted = keeper.links.admit(&own, &theirs);
+    let own = member.links.own();
+    let admitted = member.links.admit(&own, &theirs);
     let words: Result<Greeting, Refusal> = admitted.clone().map(|()| own);
-    tokio::time::timeout(GREETING, send(&mut stream, Kind::Greeting, &words)).await.map_err(late)??;
+    tokio::time::timeout(GREETING, send(&mut stream, RecordType::Greeting, &words)).await.map_err(late)??;
     if let Err(refusal) = admitted {
         return Err(io::Error::new(io::ErrorKind::PermissionDenied, format!("{} is {refusal}", theirs.head)));
     }
     theirs.secret.clear();
     loop {
-        let call = tokio::time::timeout(IDLE, receive::<Call>(&mut stream, Kind::Call)).await;
-        let reply = keeper.answer(call.map_err(late)??, &theirs).await;
-        tokio::time::timeout(ANSWER, send(&mut stream, Kind::Reply, &reply)).await.map_err(late)??;
+        let call = tokio::time::timeout(IDLE, receive::<Call>(&mut stream, RecordType::Call)).await;
+        let reply = member.answer(call.map_err(late)??, &theirs).await;
+        tokio::time::timeout(ANSWER, send(&mut stream, RecordType::Reply, &reply)).await.map_err(late)??;
     }
 }
--- a/crates/head/src/fleet/settings.rs
+++ b/crates/head/src/fleet/settings.rs
@@ -16,8 +16,8 @@
     pub listen: SocketAddr,
     /// Where the store lies.
     pub dir: PathBuf,
-    /// The keepers by name, each with the address at which this head calls it.
-    pub keepers: BTreeMap<String, SocketAddr>,
+    /// The voters by name, each with the address at which this head calls it.
+    pub voters: BTreeMap<String, SocketAddr>,
     /// Further heads by name, where this head calls them at other addresses than they say themselves.
     pub heads: BTreeMap<String, SocketAddr>,
     /// Where others call this head; where it listens, if left out.
@@ -72,8 +72,8 @@
             }
             heads
         };
-        let keepers_text = pairs.required("fleet.keepers");
-        let keepers = named("fleet.keepers", keepers_text);
+        let voters_text = pairs.required("fleet.keepers");
+        let voters = named("fleet.keepers", voters_text);
         let heads = named("fleet.heads", pairs.text("fleet.heads").unwrap_or_default());
         let address = pairs.text("fleet.address").and_then(|text| {
             let read = text.parse().ok();
@@ -82,8 +82,8 @@
             }
             read
         });
-        if !keepers_text.is_empty() && keepers.len().is_multiple_of(2) {
-            let what = format!("setting fleet.keepers names {}: an odd number keeps", keepers.len());
+        if !voters_text.is_empty() && voters.len().is_multiple_of(2) {
+            let what = format!("setting fleet.keepers names {}: an odd number keeps", voters.len());
             pairs.fault("fleet.keepers", what);
         }
         // Two sources of tenants would contradict each other.
@@ -98,7 +98,7 @@
             secret: secret.to_owned(),
             listen,
             dir: PathBuf::from(pairs.required("fleet.dir")),
-            keepers,
+            voters,
             heads,
             address,
             zone: pairs.text("fleet.zone").filter(|zone| !zone.is_empty()).map(str::to_owned),
@@ -107,6 +107,6 @@
 
     /// Where this head calls others, by their names.
     pub fn routes(&self) -> BTreeMap<String, SocketAddr> {
-        self.heads.iter().chain(&self.keepers).map(|(head, at)| (head.clone(), *at)).collect()
+        self.heads.iter().chain(&self.voters).map(|(head, at)| (head.clone(), *at)).collect()
     }
 }
--- a/crates/head/src/fleet/types.rs
+++ b/crates/head/src/fleet/types.rs
@@ -4,18 +4,18 @@
     AppendEntriesRequest, AppendEntriesResponse, InstallSnapshotRequest, InstallSnapshotResponse,
     VoteRequest, VoteResponse,
 };
-use sedgerun_fleet::follow::{Hanging, Told};
+use sedgerun_fleet::follow::{Downstream, UpdateReply};
 use sedgerun_fleet::greeting::StoreId;
 use sedgerun_fleet::state::{Change, Outcome};
-use sedgerun_fleet::view::Piece;
+use sedgerun_fleet::view::Chunk;
 use serde::{Deserialize, Serialize};
 use std::io::Cursor;
 use std::net::SocketAddr;
 
-/// A keeper: its name and where the one that began the fleet found it. Each head goes by the address in its own
+/// A voter: its name and where the one that began the fleet found it. Each head goes by the address in its own
 /// settings where there is one.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Place {
+pub struct VoterAddress {
     /// The head's name.
     pub head: String,
     /// Its address.
@@ -26,12 +26,12 @@
 
 openraft::declare_raft_types!(
     /// The consensus library's types: an entry is the changes that waited together, so that they share its syncs;
-    /// a keeper is numbered by its store, so that a wiped disk is never taken for the keeper that it was.
+    /// a voter is numbered by its store, so that a wiped disk is never taken for the voter that it was.
     pub Types:
         D = Vec<Change>,
         R = Vec<Outcome>,
         NodeId = StoreId,
-        Node = Place,
+        Node = VoterAddress,
 );
 
 /// A position in the log.
@@ -42,21 +42,21 @@
 pub type StorageError = openraft::StorageError<StoreId>;
 /// A vote.
 pub type Vote = openraft::Vote<StoreId>;
-/// Who keeps.
-pub type Membership = openraft::StoredMembership<StoreId, Place>;
+/// The voters and learners.
+pub type Membership = openraft::StoredMembership<StoreId, VoterAddress>;
 /// What a snapshot is of.
-pub type SnapshotMeta = openraft::SnapshotMeta<StoreId, Place>;
-/// The keepers' protocol.
+pub type SnapshotMeta = openraft::SnapshotMeta<StoreId, VoterAddress>;
+/// The consensus protocol.
 pub type Raft = openraft::Raft<Types>;
 
 /// What one head asks of another.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum Call {
-    /// Of the protocol: entries, or a sign of life.
+    /// Of the protocol: entries, or a heartbeat.
     Append(AppendEntriesRequest<Types>),
     /// Of the protocol: an election.
     Vote(VoteRequest<StoreId>),
-    /// Of the protocol: a piece of a snapshot.
+    /// Of the protocol: a chunk of a snapshot.
     Snapshot(InstallSnapshotRequest<Types>),
     /// A change for the leader to make, with the time left for it in milliseconds.
     Change(Change, u64),
@@ -64,31 +64,31 @@
     Latest,
     /// How it stands.
     Status,
-    /// Begin the fleet with the keepers of the settings.
+    /// Begin the fleet with the voters of the settings.
     Begin,
-    /// Whether it hears no leader either, asked by a keeper whose log ends here.
+    /// Whether it hears no leader either, asked by a voter whose log ends here.
     Silent(Option<LogId>),
     /// What a follower lacks.
-    Follow(Box<Lack>),
-    /// A piece of what there is: `since` and `begun`.
-    Piece(u64, u64),
+    Follow(Box<UpdateRequest>),
+    /// A chunk of what there is: `since` and `first_version`.
+    Chunk(u64, u64),
     /// Make a change, wherever the leader is; asked by the command line.
-    Make(Change),
+    Propose(Change),
 }
 
 /// What a follower asks for.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Lack {
+pub struct UpdateRequest {
     /// Who asks, and the version that it holds.
-    pub follower: Hanging,
-    /// What hangs on it, at times.
-    pub below: Option<Vec<Hanging>>,
+    pub follower: Downstream,
+    /// Its own subtree, at times.
+    pub subtree: Option<Vec<Downstream>>,
     /// It holds all up to here.
     pub since: u64,
-    /// When its gathering began, as a version.
-    pub begun: u64,
-    /// How long it waits for news, in milliseconds.
-    pub wait: u64,
+    /// When its transfer began, as a version.
+    pub first_version: u64,
+    /// How long it waits for an update, in milliseconds.
+    pub wait_ms: u64,
 }
 
 /// The answer to a [`Call`].
@@ -98,9 +98,9 @@
     Append(AppendEntriesResponse<StoreId>),
     /// To an election.
     Vote(VoteResponse<StoreId>),
-    /// To a piece of a snapshot.
+    /// To a chunk of a snapshot.
     Snapshot(InstallSnapshotResponse<StoreId>),
-    /// The pieces of a snapshot came out of turn: it is begun anew.
+    /// The chunks of a snapshot came out of turn: it is begun anew.
     Mismatch(openraft::error::SnapshotMismatch),
     /// What became of a change.
     Changed(Outcome),
@@ -113,18 +113,18 @@
     /// This store hears no leader either, and would not stand in the way.
     Silent(StoreId, bool),
     /// To a follower, with the origin of the fleet.
-    Told(Option<u64>, Told),
-    /// A piece.
-    Piece(Piece),
+    Update(Option<u64>, UpdateReply),
+    /// A chunk.
+    Chunk(Chunk),
     /// It does not lead; this one does, as far as it knows.
-    Elsewhere(Option<Place>),
+    NotLeader(Option<VoterAddress>),
     /// Not done, for this reason.
     Refused(String),
 }
 
-/// A keeper as a head knows it.
+/// A voter as a head knows it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Known {
+pub struct VoterStatus {
     /// Its name.
     pub head: String,
     /// Its store.
@@ -149,7 +149,8 @@
     /// Its store.
     pub store: StoreId,
     /// Counted at each start.
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub incarnation: u64,
     /// `leader`, `keeper`, `candidate`, `follower`, `new` (nothing heard yet) or `stopped`.
     pub role: String,
     /// The leader's name, as far as known.
@@ -162,21 +163,23 @@
     pub applied: u64,
     /// Position of the last entry in the log.
     pub last: u64,
-    /// The keepers.
-    pub keepers: Vec<Known>,
-    /// The heads that hang on it, by themselves and over others.
-    pub followers: Vec<Hanging>,
-    /// Over which heads it hears of changes, itself last.
-    pub lineage: Vec<String>,
+    /// The voters.
+    #[serde(rename = "keepers")]
+    pub voters: Vec<VoterStatus>,
+    /// Its followers, direct and indirect.
+    pub followers: Vec<Downstream>,
+    /// The heads over which updates come to it, itself last.
+    #[serde(rename = "lineage")]
+    pub path: Vec<String>,
     /// How old what it holds may be, in milliseconds; `None` before it has heard anything.
     pub age: Option<u64>,
-    /// Changes of keepers that it has made as leader.
+    /// Membership changes that it has made as leader.
     pub repairs: u64,
     /// Writes synced since the start, and the longest and the mean time of one in microseconds.
     pub syncs: (u64, u64, u64),
     /// Frames refused since the start.
     pub refused: u64,
-    /// Why it keeps no longer.
+    /// Why it votes no longer.
     pub trouble: Option<String>,
 }
 
--- a/crates/head/src/mgmt.rs
+++ b/crates/head/src/mgmt.rs
@@ -125,7 +125,7 @@
         }
     }
 
-    /// A ban at all heads: yes means that a majority of the keepers has it on disk.
+    /// A ban at all heads: yes means that a majority of the voters has it on disk.
     async fn ban_for_all(&self, brick: String, banned: bool) -> String {
         let Some(fleet) = &self.fleet else { return "NO this head is in no fleet\n".to_owned() };
         let what = if banned { "disabled" } else { "enabled" };
