--- a/crates/head/tests/faults.rs
+++ b/crates/head/tests/faults.rs
@@ -1,10 +1,10 @@
 //! Faults of disks and processes at named points, and histories of several clients checked for linearizability.
 
-mod rig;
+mod harness;
 
-use rig::standin::{Discovery, Fault, Program, StandIn, get};
-use rig::{CALM, CUT, Rig, call, exports, put, row, settle};
-use sedgerun_rehearse::troublemaker::{Trouble, Way};
+use harness::standin::{Discovery, Fault, Program, StandIn, get};
+use harness::{CALM, CUT, Harness, call, exports, put, row, settle};
+use sedgerun_rehearse::fault_proxy::{LinkFaults, StreamFault};
 use stateright::semantics::register::{Register, RegisterOp, RegisterRet};
 use stateright::semantics::{ConsistencyTester, LinearizabilityTester};
 use std::net::SocketAddr;
@@ -17,8 +17,8 @@
 const POINTS: [&str; 4] =
     ["before the sync", "after the sync", "before the answer to a leader", "before the answer to a client"];
 
-fn points(rig: &mut Rig, head: usize, points: &str) {
-    rig.variables[head] = vec![("FAILPOINTS".to_owned(), points.to_owned())];
+fn points(harness: &mut Harness, head: usize, points: &str) {
+    harness.variables[head] = vec![("FAILPOINTS".to_owned(), points.to_owned())];
 }
 
 /// Small numbers that repeat.
@@ -61,7 +61,7 @@
         let lock = || tester.lock().expect("a tester");
         if write {
             let value = self.values.fetch_add(1, Ordering::SeqCst);
-            let export = rig::export("b1").replace('{', &format!("{{\"name\":\"{name}v{value}\","));
+            let export = harness::export("b1").replace('{', &format!("{{\"name\":\"{name}v{value}\","));
             lock().on_invoke(client, RegisterOp::Write(value)).expect("a call");
             let body = format!("{{\"exports\":[{export}]}}");
             let said = call(at, &format!("PUT /v1/tenants/{name}"), "", &body);
@@ -98,9 +98,13 @@
 }
 
 /// Clients at all heads that are up, for as long as the faults take.
-fn under_load(rig: &mut Rig, registers: &Registers, faults: impl FnOnce(&mut Rig, &Mutex<Vec<SocketAddr>>)) {
-    let running = (0..rig.heads.len()).filter(|head| rig.heads[*head].is_some());
-    let running: Vec<SocketAddr> = running.map(|head| rig.api(head)).collect();
+fn under_load(
+    harness: &mut Harness,
+    registers: &Registers,
+    faults: impl FnOnce(&mut Harness, &Mutex<Vec<SocketAddr>>),
+) {
+    let running = (0..harness.heads.len()).filter(|head| harness.heads[*head].is_some());
+    let running: Vec<SocketAddr> = running.map(|head| harness.api(head)).collect();
     let (apis, over) = (Mutex::new(running), AtomicBool::new(false));
     thread::scope(|scope| {
         for client in 0..3u64 {
@@ -128,36 +132,36 @@
                 }
             });
         }
-        faults(rig, &apis);
+        faults(harness, &apis);
         over.store(true, Ordering::SeqCst);
     });
 }
 
 #[test]
 fn what_clients_see_is_linearizable_under_cuts_stalls_and_kills() {
-    let mut rig = Rig::laid(3, 4);
-    rig.begin();
+    let mut harness = Harness::laid(3, 4);
+    harness.begin();
     let registers = Registers::new(12, "");
-    under_load(&mut rig, &registers, |rig, apis| {
+    under_load(&mut harness, &registers, |harness, apis| {
         let wait = || thread::sleep(Duration::from_millis(700));
-        let leader = rig.leader(&[0, 1, 2]);
-        rig.trouble(leader, CUT, CUT);
+        let leader = harness.leader(&[0, 1, 2]);
+        harness.set_faults(leader, CUT, CUT);
         wait();
-        rig.trouble(leader, CALM, CALM);
+        harness.set_faults(leader, CALM, CALM);
         wait();
-        let leader = rig.leader(&[0, 1, 2]);
-        rig.trouble(leader, Trouble { back: Way::Stall, ..CALM }, CALM);
+        let leader = harness.leader(&[0, 1, 2]);
+        harness.set_faults(leader, LinkFaults { backward: StreamFault::Stall, ..CALM }, CALM);
         wait();
-        rig.trouble(leader, CALM, CALM);
-        let leader = rig.leader(&[0, 1, 2]);
-        rig.program(leader).stand_still(true);
+        harness.set_faults(leader, CALM, CALM);
+        let leader = harness.leader(&[0, 1, 2]);
+        harness.program(leader).stand_still(true);
         wait();
-        rig.program(leader).stand_still(false);
-        let leader = rig.leader(&[0, 1, 2]);
-        rig.kill(leader);
+        harness.program(leader).stand_still(false);
+        let leader = harness.leader(&[0, 1, 2]);
+        harness.kill(leader);
         wait();
-        rig.up(leader);
-        *apis.lock().expect("heads") = (0..4).map(|head| rig.api(head)).collect();
+        harness.up(leader);
+        *apis.lock().expect("heads") = (0..4).map(|head| harness.api(head)).collect();
         wait();
     });
     registers.check();
@@ -183,37 +187,37 @@
 /// linearizable.
 fn kills(rounds: u64, seed: u64) {
     let mut draw = Draw(seed);
-    let mut rig = Rig::begun(3);
-    let mut struck = 0;
+    let mut harness = Harness::begun(3);
+    let mut affected = 0;
     let mut settled: Vec<String> = Vec::new();
     for round in 0..rounds {
         let head = draw.below(3) as usize;
         let point = POINTS[round as usize % POINTS.len()];
-        rig.kill(head);
-        points(&mut rig, head, &format!("{point}={}*off->return", 2 + draw.below(16)));
-        rig.up(head);
+        harness.kill(head);
+        points(&mut harness, head, &format!("{point}={}*off->return", 2 + draw.below(16)));
+        harness.up(head);
         let registers = Registers::new(4, &format!("k{round}"));
         let mut ended = false;
-        under_load(&mut rig, &registers, |rig, apis| {
+        under_load(&mut harness, &registers, |harness, apis| {
             for _ in 0..60 {
                 thread::sleep(Duration::from_millis(25));
-                let id = rig.program(head).id();
+                let id = harness.program(head).id();
                 let state = std::fs::read_to_string(format!("/proc/{id}/stat")).unwrap_or_default();
                 ended = state.is_empty() || state.contains(") Z ");
                 if ended {
                     break;
                 }
             }
-            let others = (0..3).filter(|other| *other != head).map(|other| rig.api(other));
+            let others = (0..3).filter(|other| *other != head).map(|other| harness.api(other));
             *apis.lock().expect("heads") = others.collect();
             thread::sleep(Duration::from_millis(100));
         });
-        struck += u64::from(ended);
-        rig.kill(head);
-        rig.variables[head].clear();
-        rig.up(head);
+        affected += u64::from(ended);
+        harness.kill(head);
+        harness.variables[head].clear();
+        harness.up(head);
         let name = format!("r{round}");
-        let apis: Vec<SocketAddr> = (0..3).map(|head| rig.api(head)).collect();
+        let apis: Vec<SocketAddr> = (0..3).map(|head| harness.api(head)).collect();
         settle(&apis, "horvat", &name);
         settled.push(name);
         registers.check();
@@ -222,8 +226,8 @@
             assert!(settled.iter().all(|name| held.contains(name)), "{held:?} lacks some of {settled:?}");
         }
     }
-    println!("{rounds} rounds, {struck} heads killed at a named point");
-    assert!(struck * 4 >= rounds, "only {struck} of {rounds} points were reached");
+    println!("{rounds} rounds, {affected} heads killed at a named point");
+    assert!(affected * 4 >= rounds, "only {affected} of {rounds} points were reached");
 }
 
 #[test]
@@ -240,106 +244,108 @@
 
 #[test]
 fn a_head_whose_disk_is_full_stops_promising_and_serves_on() {
-    let mut rig = Rig::laid(3, 4);
-    points(&mut rig, 1, "a full disk=25*off->return");
-    rig.begin();
-    assert!(rig.ask(0, &["lost-after", "1000"]).status.success());
-    let others = [rig.api(0), rig.api(2)];
+    let mut harness = Harness::laid(3, 4);
+    points(&mut harness, 1, "a full disk=25*off->return");
+    harness.begin();
+    assert!(harness.ask(0, &["lost-after", "1000"]).status.success());
+    let others = [harness.api(0), harness.api(2)];
     let mut count = 0;
-    rig.until("the disk is full", || {
+    harness.until("the disk is full", || {
         settle(&others, "horvat", &format!("e{count}"));
         count += 1;
-        let said = row(&rig.status(0), 1).clone();
+        let said = row(&harness.status(0), 1).clone();
         (said["role"] == "stopped" && said["trouble"].is_string()).then_some(())
     });
     // It keeps nothing any more, and follows: it serves what the others settle, and passes changes on to them.
-    assert!(put(rig.api(1), "horvat", "passed-on", "passed-on").is_some_and(|said| said.status < 300));
-    assert_eq!(exports(rig.api(1), "horvat").len(), count + 1);
+    assert!(put(harness.api(1), "horvat", "passed-on", "passed-on").is_some_and(|said| said.status < 300));
+    assert_eq!(exports(harness.api(1), "horvat").len(), count + 1);
     // Another takes its place, and of the two that are left beside that one may be lost.
-    rig.until("another keeps", || (rig.votes(3) && !rig.votes(1)).then_some(()));
-    let leader = rig.leader(&[0, 2, 3]);
-    rig.lose(leader);
+    harness.until("another keeps", || (harness.votes(3) && !harness.votes(1)).then_some(()));
+    let leader = harness.leader(&[0, 2, 3]);
+    harness.lose(leader);
     let left: Vec<SocketAddr> =
-        [0, 2, 3].iter().filter(|head| **head != leader).map(|head| rig.api(*head)).collect();
+        [0, 2, 3].iter().filter(|head| **head != leader).map(|head| harness.api(*head)).collect();
     settle(&left, "horvat", "after");
-    settle(&[rig.api(1)], "horvat", "passed-on-later");
+    settle(&[harness.api(1)], "horvat", "passed-on-later");
     // With room again and a new start it is of use.
-    rig.kill(1);
-    rig.variables[1].clear();
-    rig.up(1);
-    assert_eq!(exports(rig.api(1), "horvat").len(), count + 3);
+    harness.kill(1);
+    harness.variables[1].clear();
+    harness.up(1);
+    assert_eq!(exports(harness.api(1), "horvat").len(), count + 3);
 }
 
 #[test]
 fn a_snapshot_cut_in_the_middle_is_resumed_or_begun_anew() {
-    let mut rig = Rig::laid(3, 3);
+    let mut harness = Harness::laid(3, 3);
     let small = "entries between snapshots=return(60);bytes of a piece=return(900)";
-    (0..3).for_each(|head| points(&mut rig, head, small));
-    rig.begin();
-    let leader = rig.leader(&[0, 1, 2]);
+    (0..3).for_each(|head| points(&mut harness, head, small));
+    harness.begin();
+    let leader = harness.leader(&[0, 1, 2]);
     let late = (leader + 1) % 3;
-    rig.kill(late);
+    harness.kill(late);
     for i in 0..200 {
-        settle(&[rig.api(leader)], "horvat", &format!("e{i}"));
+        settle(&[harness.api(leader)], "horvat", &format!("e{i}"));
     }
-    // The snapshot goes out in many pieces; the link is cut among them, and the one that takes it is killed.
+    // The snapshot goes out in many chunks; the link is cut among them, and the one that takes it is killed.
     for other in (0..3).filter(|other| *other != late) {
-        rig.links[other][late].suffer(Trouble { there: Way::Late(Duration::from_millis(15)), ..CALM });
+        harness.links[other][late]
+            .set_faults(LinkFaults { forward: StreamFault::Delay(Duration::from_millis(15)), ..CALM });
     }
     for round in 0..3 {
-        rig.up(late);
+        harness.up(late);
         thread::sleep(Duration::from_millis(300));
-        let held = row(&rig.status(leader), late)["version"].as_u64();
+        let held = row(&harness.status(leader), late)["version"].as_u64();
         assert!(held < Some(200), "it was not cut in the middle: {held:?}");
         if round == 2 {
-            rig.trouble(late, CUT, CUT);
+            harness.set_faults(late, CUT, CUT);
             thread::sleep(Duration::from_millis(300));
-            rig.trouble(late, CALM, CALM);
+            harness.set_faults(late, CALM, CALM);
         } else {
-            rig.kill(late);
+            harness.kill(late);
         }
     }
-    rig.until("all is there", || (row(&rig.status(leader), late)["version"] == 200).then_some(()));
-    assert_eq!(exports(rig.api(late), "horvat").len(), 200);
+    harness.until("all is there", || (row(&harness.status(leader), late)["version"] == 200).then_some(()));
+    assert_eq!(exports(harness.api(late), "horvat").len(), 200);
     // And once more at the point after it is written and before it is applied.
-    rig.lose(late);
-    points(&mut rig, late, &format!("{small};after a snapshot is taken over=1*return"));
-    rig.up(late);
+    harness.lose(late);
+    points(&mut harness, late, &format!("{small};after a snapshot is taken over=1*return"));
+    harness.up(late);
     thread::sleep(Duration::from_millis(1500));
-    points(&mut rig, late, small);
-    rig.kill(late);
-    rig.up(late);
-    rig.keeps(&[0, 1, 2]);
-    rig.until("all is there again", || (row(&rig.status(leader), late)["version"] == 200).then_some(()));
+    points(&mut harness, late, small);
+    harness.kill(late);
+    harness.up(late);
+    harness.wait_for_voters(&[0, 1, 2]);
+    harness
+        .until("all is there again", || (row(&harness.status(leader), late)["version"] == 200).then_some(()));
 }
 
 #[test]
 fn a_lost_zone_is_made_good_from_its_own_zone() {
-    let mut rig = Rig::laid(3, 5);
+    let mut harness = Harness::laid(3, 5);
     for (head, zone) in ["a", "b", "c", "a", "b"].iter().enumerate() {
-        rig.forms[head] = format!(" (zone \"{zone}\")");
+        harness.forms[head] = format!(" (zone \"{zone}\")");
     }
-    rig.begin();
-    settle(&[rig.api(0)], "horvat", "press");
-    assert!(rig.ask(0, &["lost-after", "1000"]).status.success());
-    rig.lose(1);
-    rig.until("the one of the same zone keeps", || rig.votes(4).then_some(()));
-    assert!(!rig.votes(3));
-    rig.lose(0);
-    rig.until("the other too", || rig.votes(3).then_some(()));
-    assert_eq!(exports(rig.api(3), "horvat"), ["press"]);
+    harness.begin();
+    settle(&[harness.api(0)], "horvat", "press");
+    assert!(harness.ask(0, &["lost-after", "1000"]).status.success());
+    harness.lose(1);
+    harness.until("the one of the same zone keeps", || harness.votes(4).then_some(()));
+    assert!(!harness.votes(3));
+    harness.lose(0);
+    harness.until("the other too", || harness.votes(3).then_some(()));
+    assert_eq!(exports(harness.api(3), "horvat"), ["press"]);
 }
 
 /// The 99th percentile of requests through a head that makes changes all the while, with this at its points.
 fn served_in(points: &str) -> Duration {
     let brick = StandIn::start("s-1", 3, Duration::from_millis(1), Fault::None);
     let discovery = Discovery::start(vec![brick.entry("ready")]);
-    let rig = Rig::laid(1, 1);
-    let (mut config, operator) = rig.files(0);
+    let harness = Harness::laid(1, 1);
+    let (mut config, operator) = harness.files(0);
     config["discovery"] = serde_json::json!(discovery.address.to_string());
     let program = Program::start_with(&config, Some(&operator), &[("FAILPOINTS", points)]);
-    rig.links[0][0].lead(program.fleet.expect("a fleet's listener"));
-    assert!(rig.ask_with(&program.files(), &["begin"]).status.success());
+    harness.links[0][0].forward_to(program.fleet.expect("a fleet's listener"));
+    assert!(harness.ask_with(&program.files(), &["begin"]).status.success());
     let (api, over) = (program.admin.expect("an API"), AtomicBool::new(false));
     let mut times: Vec<Duration> = thread::scope(|scope| {
         let writer = scope.spawn(|| {
--- a/crates/head/tests/rig/mod.rs
+++ b/crates/head/tests/harness/mod.rs
@@ -1,11 +1,11 @@
-//! Several real heads that keep state for each other, with a troublemaker on each directed link between them.
+//! Several real heads that keep state for each other, with a fault proxy on each directed link between them.
 
 #![allow(dead_code)]
 
 #[path = "../standin/mod.rs"]
 pub mod standin;
 
-use sedgerun_rehearse::troublemaker::{Link, Trouble, Way};
+use sedgerun_rehearse::fault_proxy::{Link, LinkFaults, StreamFault};
 use serde_json::{Value, json};
 use standin::{Discovery, Program, config};
 use std::collections::BTreeMap;
@@ -17,17 +17,17 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-static RIGS: AtomicU32 = AtomicU32::new(0);
+static HARNESSES: AtomicU32 = AtomicU32::new(0);
 const TOKEN: &str = "a-token-for-the-tests";
 
 /// Heads `n0`, `n1`, ... of one fleet.
-pub struct Rig {
+pub struct Harness {
     pub heads: Vec<Option<Program>>,
     pub dirs: Vec<PathBuf>,
     /// `links[a][b]`: where `a` dials `b`.
     pub links: Vec<Vec<Link>>,
     /// How many of them keep, by their settings.
-    keepers: usize,
+    voters: usize,
     /// Further forms in the operator's file, and further variables, by head.
     pub forms: Vec<String>,
     pub variables: Vec<Vec<(String, String)>>,
@@ -43,25 +43,25 @@
     pub body: Value,
 }
 
-impl Rig {
+impl Harness {
     /// Starts heads that hold nothing.
-    pub fn start(heads: usize) -> Rig {
-        let mut rig = Rig::laid(heads, heads);
-        (0..heads).for_each(|head| rig.up(head));
-        rig
+    pub fn start(heads: usize) -> Harness {
+        let mut harness = Harness::laid(heads, heads);
+        (0..heads).for_each(|head| harness.up(head));
+        harness
     }
 
     /// Lays out heads, of which the first keep; nothing is started.
-    pub fn laid(keepers: usize, heads: usize) -> Rig {
-        let number = RIGS.fetch_add(1, Ordering::SeqCst);
+    pub fn laid(voters: usize, heads: usize) -> Harness {
+        let number = HARNESSES.fetch_add(1, Ordering::SeqCst);
         let root = std::env::temp_dir().join(format!("sedgerun-rig-{}-{number}", std::process::id()));
         let links =
             (0..heads).map(|_| (0..heads).map(|_| Link::start().expect("a link")).collect()).collect();
-        Rig {
+        Harness {
             heads: (0..heads).map(|_| None).collect(),
             dirs: (0..heads).map(|head| root.join(format!("store{head}"))).collect(),
             links,
-            keepers,
+            voters,
             forms: vec![String::new(); heads],
             variables: vec![Vec::new(); heads],
             discovery: Discovery::start(vec![]),
@@ -70,10 +70,10 @@
     }
 
     /// Starts heads and begins their fleet.
-    pub fn begun(heads: usize) -> Rig {
-        let mut rig = Rig::laid(heads, heads);
-        rig.begin();
-        rig
+    pub fn begun(heads: usize) -> Harness {
+        let mut harness = Harness::laid(heads, heads);
+        harness.begin();
+        harness
     }
 
     /// Starts all heads and begins the fleet.
@@ -81,7 +81,7 @@
         (0..self.heads.len()).for_each(|head| self.up(head));
         let begun = self.ask(0, &["begin"]);
         assert!(begun.status.success(), "{}", String::from_utf8_lossy(&begun.stderr));
-        self.leader(&(0..self.keepers).collect::<Vec<_>>());
+        self.leader(&(0..self.voters).collect::<Vec<_>>());
     }
 
     /// What a head is started with.
@@ -93,14 +93,14 @@
             let all = range.map(|to| format!(" \"n{to}={}\"", self.links[head][to].address));
             all.collect::<String>()
         };
-        let others = named(self.keepers..self.heads.len());
+        let others = named(self.voters..self.heads.len());
         let others = if others.is_empty() { others } else { format!("\n  (heads{others})") };
         let operator = format!(
             "(ninep (listen \"127.0.0.1:0\"))\n(admin (listen \"127.0.0.1:0\") (token \"{TOKEN}\"))\n\
              (fleet (name \"rig\") (secret \"known to the rig alone\") (listen \"127.0.0.1:0\")\n  (dir \"{}\")\n  \
              (keepers{}){others}{})",
             self.dirs[head].display(),
-            named(0..self.keepers),
+            named(0..self.voters),
             self.forms[head],
         );
         (config, operator)
@@ -113,7 +113,7 @@
             self.variables[head].iter().map(|(name, value)| (name.as_str(), value.as_str())).collect();
         let program = Program::start_with(&config, Some(&operator), &variables);
         let at = program.fleet.expect("a fleet's listener");
-        self.links.iter().for_each(|from| from[head].lead(at));
+        self.links.iter().for_each(|from| from[head].forward_to(at));
         self.heads[head] = Some(program);
     }
 
@@ -165,9 +165,9 @@
         let status = self.status(head);
         let heads = status["heads"].as_array().cloned().unwrap_or_default();
         let leader = heads.iter().find(|said| said["role"] == "leader");
-        let keepers = leader.and_then(|leader| leader["keepers"].as_array().cloned()).unwrap_or_default();
+        let voters = leader.and_then(|leader| leader["keepers"].as_array().cloned()).unwrap_or_default();
         let name = format!("n{head}");
-        keepers.iter().any(|keeper| keeper["head"] == name.as_str() && keeper["votes"] == true)
+        voters.iter().any(|voter| voter["head"] == name.as_str() && voter["votes"] == true)
     }
 
     /// Waits until something is there.
@@ -195,7 +195,7 @@
         said
     }
 
-    /// How the keepers stand, as a head's command line says it.
+    /// How the voters stand, as a head's command line says it.
     pub fn status(&self, head: usize) -> Value {
         let said = self.ask(head, &["status", "--json"]);
         serde_json::from_slice(&said.stdout).unwrap_or_default()
@@ -220,7 +220,7 @@
     }
 
     /// Waits until just these heads keep, each with its running store, and one leads.
-    pub fn keeps(&self, heads: &[usize]) {
+    pub fn wait_for_voters(&self, heads: &[usize]) {
         let begun = Instant::now();
         let asked = *heads.iter().find(|head| self.heads[**head].is_some()).expect("a running head");
         loop {
@@ -229,15 +229,15 @@
             let stores: BTreeMap<&str, &Value> =
                 said.iter().filter_map(|head| Some((head["head"].as_str()?, &head["store"]))).collect();
             let leader = said.iter().find(|head| head["role"] == "leader");
-            let keepers = leader.and_then(|leader| leader["keepers"].as_array()).cloned().unwrap_or_default();
-            let is = |keeper: &Value, head: usize| {
+            let voters = leader.and_then(|leader| leader["keepers"].as_array()).cloned().unwrap_or_default();
+            let is = |voter: &Value, head: usize| {
                 let name = format!("n{head}");
-                keeper["head"] == name && stores.get(name.as_str()) == Some(&&keeper["store"])
+                voter["head"] == name && stores.get(name.as_str()) == Some(&&voter["store"])
             };
             let all = heads
                 .iter()
-                .all(|head| keepers.iter().any(|keeper| keeper["votes"] == true && is(keeper, *head)));
-            if all && keepers.len() == heads.len() {
+                .all(|head| voters.iter().any(|voter| voter["votes"] == true && is(voter, *head)));
+            if all && voters.len() == heads.len() {
                 return;
             }
             assert!(begun.elapsed() < Duration::from_secs(30), "not the keepers {heads:?}: {status:#}");
@@ -252,9 +252,9 @@
             let leader = self.leader(&(0..self.heads.len()).collect::<Vec<_>>());
             let status = self.status(leader);
             let status = row(&status, leader);
-            let keepers = status["keepers"].as_array().cloned().unwrap_or_default();
-            let known = keepers.iter().find(|keeper| keeper["head"] == format!("n{head}"));
-            if known.is_some_and(|keeper| keeper["matched"].is_u64() && keeper["matched"] == status["last"]) {
+            let voters = status["keepers"].as_array().cloned().unwrap_or_default();
+            let known = voters.iter().find(|voter| voter["head"] == format!("n{head}"));
+            if known.is_some_and(|voter| voter["matched"].is_u64() && voter["matched"] == status["last"]) {
                 return;
             }
             assert!(begun.elapsed() < Duration::from_secs(10), "n{head} lags: {status}");
@@ -262,10 +262,10 @@
     }
 
     /// Puts a trouble on all links from a head, and its mirror on all links to it.
-    pub fn trouble(&self, head: usize, from: Trouble, to: Trouble) {
+    pub fn set_faults(&self, head: usize, from: LinkFaults, to: LinkFaults) {
         for other in (0..self.heads.len()).filter(|other| *other != head) {
-            self.links[head][other].suffer(from);
-            self.links[other][head].suffer(to);
+            self.links[head][other].set_faults(from);
+            self.links[other][head].set_faults(to);
         }
     }
 
@@ -275,7 +275,7 @@
     }
 }
 
-impl Drop for Rig {
+impl Drop for Harness {
     fn drop(&mut self) {
         self.heads.clear();
         let _ = std::fs::remove_dir_all(&self.root);
@@ -314,8 +314,9 @@
     .to_string()
 }
 
-pub const CUT: Trouble = Trouble { cut: true, there: Way::Pass, back: Way::Pass };
-pub const CALM: Trouble = Trouble { cut: false, there: Way::Pass, back: Way::Pass };
+pub const CUT: LinkFaults = LinkFaults { cut: true, forward: StreamFault::Pass, backward: StreamFault::Pass };
+pub const CALM: LinkFaults =
+    LinkFaults { cut: false, forward: StreamFault::Pass, backward: StreamFault::Pass };
 
 pub fn put(at: SocketAddr, tenant: &str, name: &str, key: &str) -> Option<Said> {
     let headers = format!("Idempotency-Key: {key}\r\n");
--- a/crates/rehearse/src/troublemaker.rs
+++ b/crates/rehearse/src/fault_proxy.rs
@@ -1,4 +1,4 @@
-//! A troublemaker between sockets: one proxy for one directed link, steered while traffic flows. It stands on a
+//! A fault proxy between sockets: one proxy for one directed link, steered while traffic flows. It stands on a
 //! loopback port of its own, so that the party behind it may come and go with other ports.
 
 use std::io::{self, Read, Write};
@@ -9,34 +9,34 @@
 
 /// What becomes of the bytes of one direction.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Way {
+pub enum StreamFault {
     /// They pass.
     #[default]
     Pass,
     /// They pass so much later.
-    Late(Duration),
+    Delay(Duration),
     /// They pass one at a time, so much apart.
-    Slow(Duration),
-    /// They are held until the trouble is over.
+    Trickle(Duration),
+    /// They are held until the fault is over.
     Stall,
     /// They vanish.
     Lose,
-    /// One bit of each piece is turned.
-    Garble,
+    /// One bit of each chunk is turned.
+    Corrupt,
 }
 
 /// What a link suffers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Trouble {
+pub struct LinkFaults {
     /// Connections are reset and new ones refused.
     pub cut: bool,
     /// From the one that dials to the one that is dialed.
-    pub there: Way,
+    pub forward: StreamFault,
     /// Back.
-    pub back: Way,
+    pub backward: StreamFault,
 }
 
-/// A link under one's thumb.
+/// A link whose faults can be set at any time.
 #[derive(Clone)]
 pub struct Link {
     /// Where it is dialed.
@@ -46,11 +46,11 @@
 
 #[derive(Default)]
 struct State {
-    trouble: Trouble,
+    faults: LinkFaults,
     target: Option<SocketAddr>,
     streams: Vec<TcpStream>,
-    /// Pieces that were held, lost or turned.
-    struck: u64,
+    /// Chunks that were held, lost or turned.
+    affected: u64,
 }
 
 impl Link {
@@ -72,15 +72,15 @@
     }
 
     /// From now on it leads here.
-    pub fn lead(&self, target: SocketAddr) {
+    pub fn forward_to(&self, target: SocketAddr) {
         self.lock().target = Some(target);
     }
 
-    /// Puts a trouble in the place of the last one.
-    pub fn suffer(&self, trouble: Trouble) {
+    /// Puts a fault in the place of the last one.
+    pub fn set_faults(&self, faults: LinkFaults) {
         let mut state = self.lock();
-        state.trouble = trouble;
-        if trouble.cut {
+        state.faults = faults;
+        if faults.cut {
             for stream in state.streams.drain(..) {
                 let _ = stream.shutdown(Shutdown::Both);
             }
@@ -88,14 +88,14 @@
         self.inner.1.notify_all();
     }
 
-    /// How many pieces troubles have struck.
-    pub fn struck(&self) -> u64 {
-        self.lock().struck
+    /// How many chunks faults have affected.
+    pub fn affected(&self) -> u64 {
+        self.lock().affected
     }
 
     fn take(&self, near: TcpStream) {
         let mut state = self.lock();
-        let Some(target) = state.target.filter(|_| !state.trouble.cut) else { return };
+        let Some(target) = state.target.filter(|_| !state.faults.cut) else { return };
         let Ok(far) = TcpStream::connect_timeout(&target, Duration::from_secs(1)) else { return };
         for stream in [&near, &far] {
             let _ = stream.set_nodelay(true);
@@ -110,9 +110,9 @@
     }
 
     fn pump(&self, mut from: TcpStream, mut to: TcpStream, back: bool) {
-        let mut piece = [0; 16 << 10];
-        while let Ok(length @ 1..) = from.read(&mut piece) {
-            if self.pass(&mut piece[..length], &mut to, back).is_err() {
+        let mut chunk = [0; 16 << 10];
+        while let Ok(length @ 1..) = from.read(&mut chunk) {
+            if self.pass(&mut chunk[..length], &mut to, back).is_err() {
                 break;
             }
         }
@@ -120,30 +120,30 @@
         let _ = from.shutdown(Shutdown::Read);
     }
 
-    fn pass(&self, piece: &mut [u8], to: &mut TcpStream, back: bool) -> io::Result<()> {
+    fn pass(&self, chunk: &mut [u8], to: &mut TcpStream, back: bool) -> io::Result<()> {
         let mut state = self.lock();
-        let way = |state: &State| if back { state.trouble.back } else { state.trouble.there };
-        state.struck += u64::from(way(&state) != Way::Pass);
-        while way(&state) == Way::Stall {
+        let fault = |state: &State| if back { state.faults.backward } else { state.faults.forward };
+        state.affected += u64::from(fault(&state) != StreamFault::Pass);
+        while fault(&state) == StreamFault::Stall {
             state = self.inner.1.wait(state).unwrap_or_else(PoisonError::into_inner);
         }
-        let way = way(&state);
+        let fault = fault(&state);
         drop(state);
-        match way {
-            Way::Pass | Way::Stall => to.write_all(piece),
-            Way::Late(by) => {
+        match fault {
+            StreamFault::Pass | StreamFault::Stall => to.write_all(chunk),
+            StreamFault::Delay(by) => {
                 thread::sleep(by);
-                to.write_all(piece)
+                to.write_all(chunk)
             }
-            Way::Slow(apart) => piece.chunks(1).try_for_each(|byte| {
+            StreamFault::Trickle(apart) => chunk.chunks(1).try_for_each(|byte| {
                 thread::sleep(apart);
                 to.write_all(byte)
             }),
-            Way::Lose => Ok(()),
-            Way::Garble => {
-                let middle = piece.len() / 2;
-                piece[middle] ^= 0x10;
-                to.write_all(piece)
+            StreamFault::Lose => Ok(()),
+            StreamFault::Corrupt => {
+                let middle = chunk.len() / 2;
+                chunk[middle] ^= 0x10;
+                to.write_all(chunk)
             }
         }
     }
--- a/crates/rehearse/src/fleet/auditor.rs
+++ b/crates/rehearse/src/fleet/auditor.rs
@@ -1,4 +1,4 @@
-//! What must hold whatever strikes: what was acknowledged is there, a term has one leader, versions do not go back,
+//! What must hold under all faults: what was acknowledged is there, a term has one leader, versions do not go back,
 //! and two heads at one version hold the same.
 
 use sedgerun_fleet::view::View;
@@ -18,7 +18,7 @@
     leaders: BTreeMap<u64, u64>,
     /// What was held at a version, as a digest.
     views: BTreeMap<u64, u64>,
-    /// The version that each life of a head was last seen at.
+    /// The version that each incarnation of a head was last seen at.
     seen: BTreeMap<(u64, u64), u64>,
     /// Calls that were refused or not answered in time.
     pub refused: u64,
@@ -99,9 +99,9 @@
         }
     }
 
-    /// A head, in one of its lives, is at a version.
-    pub fn at(&mut self, store: u64, life: u64, version: u64) {
-        let seen = self.seen.entry((store, life)).or_insert(version);
+    /// A head, in one of its incarnations, is at a version.
+    pub fn at(&mut self, store: u64, incarnation: u64, version: u64) {
+        let seen = self.seen.entry((store, incarnation)).or_insert(version);
         if *seen > version {
             let what = format!("store {store:016x} went back from version {seen} to {version}");
             self.broke(what);
--- a/crates/rehearse/src/fleet/demo.rs
+++ b/crates/rehearse/src/fleet/demo.rs
@@ -1,7 +1,7 @@
 //! A newcomer sees it: five heads on loopback, changes, the leader lost with its disk; nothing is lost and the copies
 //! return.
 
-use super::rig::Rig;
+use super::harness::Harness;
 use crate::scenario::Scenario;
 use std::path::Path;
 use std::sync::OnceLock;
@@ -27,41 +27,43 @@
 /// Plays it, and says each step; an error is what did not come about.
 pub fn play(program: &Path, say: impl Fn(&str)) -> Result<(), String> {
     let begun = Instant::now();
-    let mut rig = Rig::begin(program, 3, 5)?;
+    let mut harness = Harness::begin(program, 3, 5)?;
     say(&format!("five heads, three of which keep ({:.1} s)", begun.elapsed().as_secs_f64()));
-    let leader = rig.leader().ok_or("nobody leads")?;
+    let leader = harness.leader().ok_or("nobody leads")?;
     let mut settled: Vec<String> = Vec::new();
-    let change = |rig: &Rig, settled: &mut Vec<String>| {
+    let change = |harness: &Harness, settled: &mut Vec<String>| {
         let name = format!("e{}", settled.len());
-        let up = rig.up();
+        let up = harness.up();
         let at = up[settled.len() % up.len()];
-        rig.until("a change is settled", |rig| rig.caller(at).put("horvat", &name, &name).then_some(()))?;
+        harness.until("a change is settled", |harness| {
+            harness.caller(at).put("horvat", &name, &name).then_some(())
+        })?;
         settled.push(name);
         Ok::<(), String>(())
     };
     for _ in 0..CHANGES {
-        change(&rig, &mut settled)?;
+        change(&harness, &mut settled)?;
     }
     say(&format!("{CHANGES} changes, each at another head, acknowledged"));
     let lost = Instant::now();
-    rig.lose(leader);
+    harness.lose(leader);
     say(&format!("n{leader}, which led, is killed, and its disk is gone"));
-    change(&rig, &mut settled)?;
+    change(&harness, &mut settled)?;
     say(&format!("the next change is acknowledged after {:.2} s", lost.elapsed().as_secs_f64()));
-    rig.start(leader)?;
-    rig.until("three keep again", |rig| (rig.keepers() == Some(3)).then_some(()))?;
+    harness.start(leader)?;
+    harness.until("three keep again", |harness| (harness.voters() == Some(3)).then_some(()))?;
     say(&format!("three keep all of it again after {:.2} s", lost.elapsed().as_secs_f64()));
     for _ in 0..CHANGES {
-        change(&rig, &mut settled)?;
+        change(&harness, &mut settled)?;
     }
-    for head in rig.up() {
-        let held = rig.until("a settled read", |rig| rig.caller(head).exports("horvat"))?;
+    for head in harness.up() {
+        let held = harness.until("a settled read", |harness| harness.caller(head).exports("horvat"))?;
         if let Some(missing) = settled.iter().find(|name| !held.contains(name)) {
             return Err(format!("{missing} was acknowledged, and n{head} does not hold it"));
         }
     }
     say(&format!("all {} changes are there, read at each of the five heads", settled.len()));
-    say(&rig.status(false).unwrap_or_default());
+    say(&harness.status(false).unwrap_or_default());
     say(&format!("{:.1} s in all", begun.elapsed().as_secs_f64()));
     Ok(())
 }
--- a/crates/rehearse/src/fleet/disk.rs
+++ b/crates/rehearse/src/fleet/disk.rs
@@ -1,4 +1,4 @@
-//! A disk as the fleet's World has it: what is not synced may be gone, in part or torn, after a loss of power.
+//! A disk as the fleet's simulator has it: what is not synced may be gone, in part or torn, after a loss of power.
 
 use super::Chance;
 use redb::StorageBackend;
@@ -37,25 +37,25 @@
     pending: Vec<Op>,
     /// Counts processes; one that has ended writes no more.
     process: u64,
-    /// Planted: it says that it has synced, and has not.
+    /// Injected: it says that it has synced, and has not.
     lies: bool,
 }
 
 /// A machine's disk.
 #[derive(Clone, Debug, Default)]
-pub struct Platter(Arc<Mutex<Inner>>);
+pub struct SimulatedDisk(Arc<Mutex<Inner>>);
 
 /// What one process has open of it.
 #[derive(Debug)]
 pub struct Open {
-    platter: Platter,
+    disk: SimulatedDisk,
     process: u64,
 }
 
-impl Platter {
+impl SimulatedDisk {
     /// An empty disk; one that `lies` loses whatever it was told to sync.
-    pub fn new(lies: bool) -> Platter {
-        Platter(Arc::new(Mutex::new(Inner { lies, ..Inner::default() })))
+    pub fn new(lies: bool) -> SimulatedDisk {
+        SimulatedDisk(Arc::new(Mutex::new(Inner { lies, ..Inner::default() })))
     }
 
     fn lock(&self) -> MutexGuard<'_, Inner> {
@@ -66,7 +66,7 @@
     pub fn open(&self) -> Open {
         let mut inner = self.lock();
         inner.process += 1;
-        Open { platter: self.clone(), process: inner.process }
+        Open { disk: self.clone(), process: inner.process }
     }
 
     /// The process ends at once; what it has written stays.
@@ -99,16 +99,16 @@
     }
 
     /// A copy of what a process would read now.
-    pub fn copy(&self) -> Platter {
+    pub fn copy(&self) -> SimulatedDisk {
         let inner = self.lock();
         let (seen, lies) = (inner.seen.clone(), inner.lies);
-        Platter(Arc::new(Mutex::new(Inner { durable: seen.clone(), seen, lies, ..Inner::default() })))
+        SimulatedDisk(Arc::new(Mutex::new(Inner { durable: seen.clone(), seen, lies, ..Inner::default() })))
     }
 }
 
 impl Open {
     fn inner(&self) -> io::Result<MutexGuard<'_, Inner>> {
-        let inner = self.platter.lock();
+        let inner = self.disk.lock();
         if inner.process == self.process {
             Ok(inner)
         } else {
--- a/crates/rehearse/src/fleet/strikes.rs
+++ b/crates/rehearse/src/fleet/faults.rs
@@ -1,5 +1,5 @@
-//! What strikes a fleet in its World, and when. Disks are lost one at a time: the next goes only when all copies are
-//! at full number again, which is what the store promises to bear.
+//! The faults injected into a simulated fleet, and when. Disks are lost one at a time: the next only when all copies
+//! are at full number again, which is what the store promises to bear.
 
 use super::Chance;
 use super::heads::Heads;
@@ -9,7 +9,7 @@
 
 /// A kind of fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Strike {
+pub enum Fault {
     /// A process is killed; what it wrote stays.
     Kill,
     /// A machine loses power: what was not synced is there, or not, or torn.
@@ -35,24 +35,24 @@
 }
 
 /// The faults of one run.
-pub struct Strikes {
+pub struct FaultSchedule {
     /// Its numbers.
     pub chance: Chance,
     heads: usize,
     due: Instant,
-    /// How often each struck.
-    pub struck: BTreeMap<Strike, u64>,
+    /// How often each was injected.
+    pub injected: BTreeMap<Fault, u64>,
 }
 
-impl Strikes {
+impl FaultSchedule {
     /// Faults for so many heads, the first after half a second or more.
-    pub fn new(chance: Chance, heads: usize) -> Strikes {
+    pub fn new(chance: Chance, heads: usize) -> FaultSchedule {
         let due = Instant::now() + Duration::from_millis(1500);
-        Strikes { chance, heads, due, struck: BTreeMap::new() }
+        FaultSchedule { chance, heads, due, injected: BTreeMap::new() }
     }
 
-    /// What strikes now: the kind, the head, and another.
-    pub fn due(&mut self, heads: &Heads) -> Option<(Strike, usize, usize)> {
+    /// The fault due now: the kind, the head, and another.
+    pub fn due(&mut self, heads: &Heads) -> Option<(Fault, usize, usize)> {
         if Instant::now() < self.due {
             return None;
         }
@@ -60,21 +60,21 @@
         let head = self.chance.below(self.heads as u64) as usize;
         let other = (head + 1 + self.chance.below(self.heads as u64 - 1) as usize) % self.heads;
         let up = heads.is_up(head);
-        let strike = match self.chance.below(20) {
-            0..=2 if up => Strike::Kill,
-            3..=5 if up => Strike::Power,
-            0..=13 if !up => Strike::Start,
-            6 => Strike::Cut,
-            7 => Strike::Isolate,
-            8 => Strike::Deaf,
-            9 => Strike::Stall,
-            10..=14 => Strike::Heal,
-            15 | 16 if up => Strike::Copy,
-            17 | 18 if up && heads.is_whole() => Strike::Lose,
-            19 if up && heads.is_whole() && heads.has_copy(head) => Strike::Restore,
+        let fault = match self.chance.below(20) {
+            0..=2 if up => Fault::Kill,
+            3..=5 if up => Fault::Power,
+            0..=13 if !up => Fault::Start,
+            6 => Fault::Cut,
+            7 => Fault::Isolate,
+            8 => Fault::Deaf,
+            9 => Fault::Stall,
+            10..=14 => Fault::Heal,
+            15 | 16 if up => Fault::Copy,
+            17 | 18 if up && heads.is_whole() => Fault::Lose,
+            19 if up && heads.is_whole() && heads.has_copy(head) => Fault::Restore,
             _ => return None,
         };
-        *self.struck.entry(strike).or_default() += 1;
-        Some((strike, head, other))
+        *self.injected.entry(fault).or_default() += 1;
+        Some((fault, head, other))
     }
 }
--- a/crates/rehearse/src/fleet/rig.rs
+++ b/crates/rehearse/src/fleet/harness.rs
@@ -3,8 +3,8 @@
 use crate::draw::Drawn;
 use crate::scenario::Scenario;
 use sedgerun::config::Sources;
+use sedgerun::fleet::client;
 use sedgerun::fleet::settings::Settings;
-use sedgerun::fleet::tell;
 use serde_json::{Value, json};
 use std::io::{Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
@@ -23,7 +23,7 @@
 }
 
 /// Heads as processes of a program; all end with it.
-pub struct Rig {
+pub struct Harness {
     program: PathBuf,
     root: PathBuf,
     heads: Vec<Head>,
@@ -33,9 +33,9 @@
     error.to_string()
 }
 
-impl Rig {
+impl Harness {
     /// Starts heads, of which the first keep, and begins their fleet.
-    pub fn begin(program: &Path, keepers: usize, heads: usize) -> Result<Rig, String> {
+    pub fn begin(program: &Path, voters: usize, heads: usize) -> Result<Harness, String> {
         let root = std::env::temp_dir().join(format!("sedgerun-store-{}-{heads}", std::process::id()));
         // All ports are held until the last is found, so that none comes twice.
         let held: Result<Vec<TcpListener>, _> =
@@ -45,9 +45,8 @@
         let ports = ports.map_err(text)?;
         let scenario = Scenario::read("(scenario store (seconds 1) (heads 1) (boxes 1))").map_err(text)?;
         let settings = Drawn::new(&scenario, 1).map_err(text)?.json;
-        let named: Vec<String> =
-            (0..keepers).map(|head| format!("\"n{head}={}\"", ports[3 * head])).collect();
-        let mut rig = Rig { program: program.to_owned(), root: root.clone(), heads: Vec::new() };
+        let named: Vec<String> = (0..voters).map(|head| format!("\"n{head}={}\"", ports[3 * head])).collect();
+        let mut harness = Harness { program: program.to_owned(), root: root.clone(), heads: Vec::new() };
         for head in 0..heads {
             let folder = root.join(format!("n{head}"));
             std::fs::create_dir_all(&folder).map_err(text)?;
@@ -63,13 +62,13 @@
             );
             std::fs::write(folder.join("config.json"), config.to_string()).map_err(text)?;
             std::fs::write(folder.join("operator.sexp"), operator).map_err(text)?;
-            rig.heads.push(Head { folder, admin, child: None });
-            rig.start(head)?;
+            harness.heads.push(Head { folder, admin, child: None });
+            harness.start(head)?;
         }
-        let settings = rig.settings(0)?;
-        rig.until("the fleet begins", |_| tell::begin(&settings, "n0").ok())?;
-        rig.until("a leader", |rig| rig.leader())?;
-        Ok(rig)
+        let settings = harness.settings(0)?;
+        harness.until("the fleet begins", |_| client::begin(&settings, "n0").ok())?;
+        harness.until("a leader", |harness| harness.leader())?;
+        Ok(harness)
     }
 
     fn sources(&self, head: usize) -> Sources {
@@ -104,7 +103,7 @@
     }
 
     /// Waits for something.
-    pub fn until<T>(&self, what: &str, look: impl Fn(&Rig) -> Option<T>) -> Result<T, String> {
+    pub fn until<T>(&self, what: &str, look: impl Fn(&Harness) -> Option<T>) -> Result<T, String> {
         let begun = Instant::now();
         loop {
             if let Some(found) = look(self) {
@@ -135,7 +134,7 @@
     /// How the fleet stands, as JSON or as a table.
     pub fn status(&self, as_json: bool) -> Option<String> {
         let asked = *self.up().first()?;
-        tell::status(&self.settings(asked).ok()?, &format!("n{asked}"), as_json).ok()
+        client::status(&self.settings(asked).ok()?, &format!("n{asked}"), as_json).ok()
     }
 
     fn leads(&self) -> Option<Value> {
@@ -149,13 +148,13 @@
     }
 
     /// How many keep, all of them up to date.
-    pub fn keepers(&self) -> Option<usize> {
+    pub fn voters(&self) -> Option<usize> {
         let leads = self.leads()?;
         let running: Vec<String> = self.up().iter().map(|head| format!("n{head}")).collect();
-        let whole = |keeper: &&Value| {
-            let head = keeper["head"].as_str().unwrap_or_default();
-            keeper["votes"] == true
-                && keeper["matched"] == leads["last"]
+        let whole = |voter: &&Value| {
+            let head = voter["head"].as_str().unwrap_or_default();
+            voter["votes"] == true
+                && voter["matched"] == leads["last"]
                 && running.iter().any(|name| name == head)
         };
         Some(leads["keepers"].as_array()?.iter().filter(whole).count())
@@ -167,7 +166,7 @@
     }
 }
 
-impl Drop for Rig {
+impl Drop for Harness {
     fn drop(&mut self) {
         (0..self.heads.len()).for_each(|head| self.lose(head));
         let _ = std::fs::remove_dir_all(&self.root);
--- a/crates/rehearse/src/fleet/heads.rs
+++ b/crates/rehearse/src/fleet/heads.rs
@@ -1,13 +1,13 @@
-//! The heads of the fleet's World, each with its disk, and what strikes them.
+//! The heads of the fleet's simulator, each with its disk, and the faults injected into them.
 
 use super::auditor::Auditor;
-use super::disk::Platter;
-use super::net::{Net, Way};
-use super::strikes::{Strike, Strikes};
-use super::{Chance, Plant};
-use sedgerun::fleet::disk::open_in_world;
-use sedgerun::fleet::node::{Asked, Node};
-use sedgerun::fleet::outside::Wire;
+use super::disk::SimulatedDisk;
+use super::faults::{Fault, FaultSchedule};
+use super::net::{LinkState, Net};
+use super::{Chance, InjectedBug};
+use sedgerun::fleet::disk::open_in_simulator;
+use sedgerun::fleet::environment::Connection;
+use sedgerun::fleet::node::{Node, NodeClient};
 use sedgerun::fleet::settings::Settings;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::PathBuf;
@@ -16,37 +16,37 @@
 use tokio::sync::mpsc;
 
 struct Head {
-    platter: Platter,
+    disk: SimulatedDisk,
     /// An earlier copy of its disk.
-    copy: Option<Platter>,
+    copy: Option<SimulatedDisk>,
     node: Option<Node>,
-    incoming: Option<mpsc::UnboundedReceiver<Wire>>,
+    incoming: Option<mpsc::UnboundedReceiver<Connection>>,
     /// An earlier copy lies in the place of its disk.
     restored: bool,
-    /// Planted: the number that its store is to have after its disk was wiped.
+    /// Injected: the number that its store is to have after its disk was wiped.
     old_name: Option<u64>,
 }
 
 /// The heads.
 pub struct Heads {
-    keepers: usize,
+    voters: usize,
     heads: Vec<Head>,
     places: Vec<SocketAddr>,
     net: Net,
     syncs: Arc<Mutex<Chance>>,
-    plant: Option<Plant>,
+    bug: Option<InjectedBug>,
     /// A disk was lost and its copies are not at full number again.
-    mending: bool,
+    repairing: bool,
 }
 
 impl Heads {
     /// Heads that are not started.
-    pub fn new((keepers, all): (usize, usize), seed: u64, plant: Option<Plant>) -> Heads {
+    pub fn new((voters, all): (usize, usize), seed: u64, bug: Option<InjectedBug>) -> Heads {
         let place = |head: usize| SocketAddr::from((Ipv4Addr::LOCALHOST, 10_000 + head as u16));
         let places: Vec<SocketAddr> = (0..all).map(place).collect();
-        let lies = plant == Some(Plant::LyingDisk);
+        let lies = bug == Some(InjectedBug::LyingDisk);
         let head = |_| Head {
-            platter: Platter::new(lies),
+            disk: SimulatedDisk::new(lies),
             copy: None,
             node: None,
             incoming: None,
@@ -54,13 +54,13 @@
             old_name: None,
         };
         Heads {
-            keepers,
+            voters,
             heads: (0..all).map(head).collect(),
             net: Net::new(&places, Chance::new(seed, 3)),
             places,
             syncs: Arc::new(Mutex::new(Chance::new(seed, 4))),
-            plant,
-            mending: false,
+            bug,
+            repairing: false,
         }
     }
 
@@ -76,7 +76,7 @@
 
     /// Whether all is as it should be: all up and reached, all copies at full number.
     pub fn is_whole(&self) -> bool {
-        !self.mending && self.net.is_well() && self.heads.iter().all(|head| head.node.is_some())
+        !self.repairing && self.net.is_well() && self.heads.iter().all(|head| head.node.is_some())
     }
 
     fn settings(&self, head: usize) -> Settings {
@@ -86,8 +86,8 @@
             secret: "known to the World alone".into(),
             listen: self.places[head],
             dir: PathBuf::new(),
-            keepers: (0..self.keepers).map(named).collect(),
-            heads: (self.keepers..self.heads.len()).map(named).collect(),
+            voters: (0..self.voters).map(named).collect(),
+            heads: (self.voters..self.heads.len()).map(named).collect(),
             address: Some(self.places[head]),
             zone: None,
         }
@@ -96,10 +96,10 @@
     /// Begins to start a head.
     pub fn starting(&mut self, head: usize) -> impl Future<Output = Result<Node, String>> + use<> {
         let settings = self.settings(head);
-        let (address, plug, syncs) = (self.places[head], self.net.plug(head), Arc::clone(&self.syncs));
+        let (address, port, syncs) = (self.places[head], self.net.port(head), Arc::clone(&self.syncs));
         let own = &mut self.heads[head];
         own.incoming = Some(self.net.up(head));
-        let (opened, old_name) = (own.platter.open(), own.old_name.take());
+        let (opened, old_name) = (own.disk.open(), own.old_name.take());
         async move {
             // A sync of 0.5 to 6 ms, and at times of 100.
             let sync = move || {
@@ -107,11 +107,11 @@
                 let long = if chance.below(200) == 0 { 100_000 } else { 0 };
                 Duration::from_micros(500 + chance.below(5500) + long)
             };
-            let (disk, mut held) = open_in_world(opened, sync)?;
+            let (disk, mut held) = open_in_simulator(opened, sync)?;
             if let Some(store) = old_name {
                 held.identity.store = store;
             }
-            Node::start(settings, &format!("n{head}"), address, (disk, held), plug).await
+            Node::start(settings, &format!("n{head}"), address, (disk, held), port).await
         }
     }
 
@@ -124,14 +124,14 @@
     pub fn take_connections(&mut self) {
         for head in &mut self.heads {
             let (Some(node), Some(incoming)) = (&mut head.node, &mut head.incoming) else { continue };
-            while let Ok(wire) = incoming.try_recv() {
-                node.accept(wire);
+            while let Ok(connection) = incoming.try_recv() {
+                node.accept(connection);
             }
         }
     }
 
     /// Shows the auditor how they stand, and finds out whether the copies are at full number.
-    pub fn look(&mut self, auditor: &mut Auditor) {
+    pub fn observe(&mut self, auditor: &mut Auditor) {
         let mut whole = false;
         for (head, node) in self.heads.iter().filter_map(|head| Some((head, head.node.as_ref()?))) {
             let status = node.status();
@@ -140,20 +140,20 @@
             }
             // An older copy of a disk shows what it held until it is found out.
             if !head.restored {
-                auditor.at(status.store, status.life, status.version);
+                auditor.at(status.store, status.incarnation, status.version);
             }
             if let Some(term) = node.leads_in() {
                 auditor.leads(term, status.store);
-                let there = |keeper: &sedgerun::fleet::types::Known| {
+                let there = |voter: &sedgerun::fleet::types::VoterStatus| {
                     let up = self.heads.iter().filter_map(|head| head.node.as_ref());
-                    keeper.votes
-                        && keeper.matched == Some(status.last)
-                        && up.into_iter().any(|n| n.store() == keeper.store)
+                    voter.votes
+                        && voter.matched == Some(status.last)
+                        && up.into_iter().any(|n| n.store() == voter.store)
                 };
-                whole |= status.keepers.len() == self.keepers && status.keepers.iter().all(there);
+                whole |= status.voters.len() == self.voters && status.voters.iter().all(there);
             }
         }
-        self.mending &= !whole;
+        self.repairing &= !whole;
     }
 
     fn down(&mut self, head: usize) {
@@ -165,58 +165,62 @@
         }
     }
 
-    /// Something strikes; the heads that are to be started.
-    pub fn strike(&mut self, strike: (Strike, usize, usize), strikes: &mut Strikes) -> Vec<usize> {
-        let (kind, head, other) = strike;
+    /// Injects a fault; the heads that are to be started.
+    pub fn inject(&mut self, fault: (Fault, usize, usize), schedule: &mut FaultSchedule) -> Vec<usize> {
+        let (kind, head, other) = fault;
         match kind {
-            Strike::Kill => {
-                self.heads[head].platter.kill();
+            Fault::Kill => {
+                self.heads[head].disk.kill();
                 self.down(head);
             }
-            Strike::Power => {
-                self.heads[head].platter.lose_power(&mut strikes.chance);
+            Fault::Power => {
+                self.heads[head].disk.lose_power(&mut schedule.chance);
                 self.down(head);
             }
-            Strike::Start => return vec![head],
-            Strike::Cut => self.both(head, other, Way::Cut),
-            Strike::Isolate => {
-                (0..self.heads.len()).filter(|to| *to != head).for_each(|to| self.both(head, to, Way::Cut));
+            Fault::Start => return vec![head],
+            Fault::Cut => self.both(head, other, LinkState::Cut),
+            Fault::Isolate => {
+                (0..self.heads.len())
+                    .filter(|to| *to != head)
+                    .for_each(|to| self.both(head, to, LinkState::Cut));
             }
-            Strike::Deaf => {
+            Fault::Deaf => {
                 (0..self.heads.len())
                     .filter(|to| *to != head)
-                    .for_each(|to| self.net.set(to, head, Way::Lose));
+                    .for_each(|to| self.net.set(to, head, LinkState::Lose));
             }
-            Strike::Stall => {
-                (0..self.heads.len()).filter(|to| *to != head).for_each(|to| self.both(head, to, Way::Stall));
+            Fault::Stall => {
+                (0..self.heads.len())
+                    .filter(|to| *to != head)
+                    .for_each(|to| self.both(head, to, LinkState::Stall));
             }
-            Strike::Heal => self.net.heal(),
-            Strike::Copy => self.heads[head].copy = Some(self.heads[head].platter.copy()),
-            Strike::Lose => {
-                self.mending = true;
+            Fault::Heal => self.net.heal(),
+            Fault::Copy => self.heads[head].copy = Some(self.heads[head].disk.copy()),
+            Fault::Lose => {
+                self.repairing = true;
                 let store = self.heads[head].node.as_ref().map(Node::store);
-                self.heads[head].platter.kill();
+                self.heads[head].disk.kill();
                 self.down(head);
-                self.heads[head].platter = Platter::new(self.plant == Some(Plant::LyingDisk));
+                self.heads[head].disk = SimulatedDisk::new(self.bug == Some(InjectedBug::LyingDisk));
                 (self.heads[head].copy, self.heads[head].restored) = (None, false);
-                self.heads[head].old_name = store.filter(|_| self.plant == Some(Plant::OldName));
+                self.heads[head].old_name = store.filter(|_| self.bug == Some(InjectedBug::OldName));
                 return vec![head];
             }
-            Strike::Restore => {
+            Fault::Restore => {
                 let Some(copy) = self.heads[head].copy.take() else { return vec![] };
-                self.heads[head].platter.kill();
+                self.heads[head].disk.kill();
                 self.down(head);
-                (self.heads[head].platter, self.heads[head].restored) = (copy, true);
-                self.mending = true;
+                (self.heads[head].disk, self.heads[head].restored) = (copy, true);
+                self.repairing = true;
                 return vec![head];
             }
         }
         vec![]
     }
 
-    fn both(&self, a: usize, b: usize, way: Way) {
-        self.net.set(a, b, way);
-        self.net.set(b, a, way);
+    fn both(&self, a: usize, b: usize, state: LinkState) {
+        self.net.set(a, b, state);
+        self.net.set(b, a, state);
     }
 
     /// Whether a head has an earlier copy of its disk.
@@ -231,9 +235,9 @@
         for head in 0..self.heads.len() {
             let old = |node: &Node| node.status().trouble.is_some_and(|what| what.contains("older copy"));
             if self.heads[head].node.as_ref().is_some_and(old) {
-                self.heads[head].platter.kill();
+                self.heads[head].disk.kill();
                 self.down(head);
-                (self.heads[head].platter, self.heads[head].restored) = (Platter::new(false), false);
+                (self.heads[head].disk, self.heads[head].restored) = (SimulatedDisk::new(false), false);
             }
         }
         (0..self.heads.len()).filter(|head| !self.is_up(*head)).collect()
@@ -242,14 +246,14 @@
     /// Why they are not yet at one, with all that was acknowledged.
     pub fn apart(&self, auditor: &Auditor) -> Option<String> {
         let nodes: Vec<&Node> = self.heads.iter().filter_map(|head| head.node.as_ref()).collect();
-        let newest = nodes.iter().map(|node| node.look(|view| view.version)).max().unwrap_or(0);
+        let newest = nodes.iter().map(|node| node.read(|view| view.version)).max().unwrap_or(0);
         for (head, node) in nodes.iter().enumerate() {
             let status = node.status();
             // Found out late: it does not take part, and an operator wipes it.
             if status.trouble.as_ref().is_some_and(|what| what.contains("older copy")) {
                 continue;
             }
-            let lacks = node.look(|view| auditor.missing(view));
+            let lacks = node.read(|view| auditor.missing(view));
             if let Some(lost) = lacks {
                 return Some(format!("{lost} was acknowledged, and head {head} does not hold it in the end"));
             }
@@ -264,18 +268,18 @@
         let Some(leader) = leader.map(|leader| leader.status()) else {
             return Some("nobody leads in the end".to_owned());
         };
-        let votes = leader.keepers.iter().filter(|keeper| keeper.votes).count();
-        let whole = votes == self.keepers && leader.keepers.len() == self.keepers;
-        (!whole).then(|| format!("{votes} of {} keep in the end: {leader:?}", leader.keepers.len()))
+        let votes = leader.voters.iter().filter(|voter| voter.votes).count();
+        let whole = votes == self.voters && leader.voters.len() == self.voters;
+        (!whole).then(|| format!("{votes} of {} keep in the end: {leader:?}", leader.voters.len()))
     }
 
     /// A way to ask a head.
-    pub fn asked(&self, head: usize) -> Option<Asked> {
-        self.heads[head].node.as_ref().map(Node::asked)
+    pub fn asked(&self, head: usize) -> Option<NodeClient> {
+        self.heads[head].node.as_ref().map(Node::client)
     }
 
     /// A way to ask any head that is up.
-    pub fn any(&self, chance: &mut Chance) -> Option<Asked> {
+    pub fn any(&self, chance: &mut Chance) -> Option<NodeClient> {
         self.asked(chance.below(self.heads.len() as u64) as usize)
     }
 }
--- a/crates/rehearse/src/fleet/measure.rs
+++ b/crates/rehearse/src/fleet/measure.rs
@@ -1,7 +1,7 @@
 //! What the store costs and bears, on real processes: changes a second against the bare cost of a sync on the same
 //! disk, and what followers take of the machine.
 
-use super::rig::Rig;
+use super::harness::Harness;
 use crate::report::table;
 use hdrhistogram::Histogram;
 use std::io::Write;
@@ -30,14 +30,14 @@
 }
 
 /// Changes by so many clients for some seconds: how many a second, and their times in microseconds.
-fn changes(rig: &Rig, clients: usize, seconds: u64) -> Result<(f64, Histogram<u64>), String> {
+fn changes(harness: &Harness, clients: usize, seconds: u64) -> Result<(f64, Histogram<u64>), String> {
     let (times, count) = (Mutex::new(histogram()?), AtomicU64::new(0));
     let begun = Instant::now();
-    let up = rig.up();
+    let up = harness.up();
     std::thread::scope(|scope| {
         for client in 0..clients {
             let (times, count) = (&times, &count);
-            let mut caller = rig.caller(up[client % up.len()]);
+            let mut caller = harness.caller(up[client % up.len()]);
             scope.spawn(move || {
                 for number in 0.. {
                     let asked = Instant::now();
@@ -62,18 +62,18 @@
     Ok((rate, times.into_inner().unwrap_or_else(PoisonError::into_inner)))
 }
 
-/// Changes a second at several numbers of clients, with three and five keepers.
+/// Changes a second at several numbers of clients, with three and five voters.
 pub fn rates(program: &Path, seconds: u64) -> Result<String, String> {
     let mut rows = Vec::new();
-    for keepers in [3, 5] {
-        let rig = Rig::begin(program, keepers, 5)?;
+    for voters in [3, 5] {
+        let harness = Harness::begin(program, voters, 5)?;
         for clients in [1, 16, 256] {
-            let (sync, sync_p99) = bare_sync(rig.folder())?;
-            let (rate, times) = changes(&rig, clients, seconds)?;
+            let (sync, sync_p99) = bare_sync(harness.folder())?;
+            let (rate, times) = changes(&harness, clients, seconds)?;
             let (median, p99) = (times.value_at_quantile(0.5), times.value_at_quantile(0.99));
             let syncs = median as f64 / sync.max(1) as f64;
             rows.push(vec![
-                keepers.to_string(),
+                voters.to_string(),
                 clients.to_string(),
                 format!("{rate:.0}"),
                 format!("{:.2}", median as f64 / 1000.0),
@@ -102,24 +102,27 @@
     Some((cpu, held?))
 }
 
-/// What heads take of the machine, idle and at 50 changes a second, with three keepers among so many.
+/// What heads take of the machine, idle and at 50 changes a second, with three voters among so many.
 pub fn costs(program: &Path, heads: usize, seconds: u64) -> Result<String, String> {
-    let rig = Rig::begin(program, 3, heads)?;
-    rig.caller(0).put("horvat", "press", "press");
-    rig.until("all have heard", |rig| {
-        let all = rig.up().into_iter().all(|head| {
-            rig.caller(head).call("GET /v1/tenants/horvat", "", "").is_some_and(|(status, _)| status == 200)
+    let harness = Harness::begin(program, 3, heads)?;
+    harness.caller(0).put("horvat", "press", "press");
+    harness.until("all have heard", |harness| {
+        let all = harness.up().into_iter().all(|head| {
+            harness
+                .caller(head)
+                .call("GET /v1/tenants/horvat", "", "")
+                .is_some_and(|(status, _)| status == 200)
         });
         all.then_some(())
     })?;
     let mut rows = Vec::new();
     for rate in [0, 50] {
         std::thread::sleep(Duration::from_secs(2));
-        let processes: Vec<u32> = rig.up().into_iter().filter_map(|head| rig.process(head)).collect();
+        let processes: Vec<u32> = harness.up().into_iter().filter_map(|head| harness.process(head)).collect();
         let before: Vec<_> = processes.iter().map(|process| cost(*process)).collect();
         let begun = Instant::now();
         let mut lags = histogram()?;
-        let (mut writer, mut reader) = (rig.caller(0), rig.caller(heads - 1));
+        let (mut writer, mut reader) = (harness.caller(0), harness.caller(heads - 1));
         let mut number = 0;
         while begun.elapsed() < Duration::from_secs(seconds) {
             if rate == 0 {
--- a/crates/rehearse/src/fleet/mod.rs
+++ b/crates/rehearse/src/fleet/mod.rs
@@ -1,22 +1,23 @@
-//! World for the fleet's store: real heads' parts in a fleet (the consensus library, redb, and all decisions), on
-//! disks, a network, a clock and a chance that are the World's, in virtual time. Faults strike by a seed; an auditor
-//! watches that nothing acknowledged is missing, no term has two leaders, and no reader's version goes back.
+//! Simulator of the fleet's store: real heads' parts in a fleet (the consensus library, redb, and all decisions), on
+//! disks, a network, a clock and random numbers of the simulator, in virtual time. Faults are injected by a seed; an
+//! auditor watches that nothing acknowledged is missing, no term has two leaders, and no reader's version goes back.
 
 pub mod auditor;
 pub mod demo;
 pub mod disk;
+pub mod faults;
+pub mod harness;
 pub mod heads;
 pub mod measure;
 pub mod net;
-pub mod rig;
-pub mod strikes;
 
 use crate::draw::source;
 use auditor::Auditor;
+use faults::{Fault, FaultSchedule};
 use heads::Heads;
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
-use sedgerun::fleet::outside::World;
+use sedgerun::fleet::environment::Simulator;
 use sedgerun_fleet::state::{Change, Command, Outcome};
 use sedgerun_fleet::view::Fields;
 use std::cell::RefCell;
@@ -25,7 +26,6 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Mutex, PoisonError};
 use std::time::Duration;
-use strikes::{Strike, Strikes};
 use tokio::task::LocalSet;
 
 /// Numbers that repeat.
@@ -44,9 +44,9 @@
     }
 }
 
-/// A fault planted in the heads or their disks, which the auditor has to catch.
+/// A bug injected into the heads or their disks, which the auditor has to catch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Plant {
+pub enum InjectedBug {
     /// Disks say that they have synced, and have not.
     LyingDisk,
     /// A wiped disk keeps its store's number.
@@ -55,13 +55,13 @@
     StaleRead,
 }
 
-impl Plant {
+impl InjectedBug {
     /// All there are.
-    pub const ALL: [Plant; 3] = [Plant::LyingDisk, Plant::OldName, Plant::StaleRead];
+    pub const ALL: [InjectedBug; 3] = [InjectedBug::LyingDisk, InjectedBug::OldName, InjectedBug::StaleRead];
 
     /// The one of a name.
-    pub fn named(name: &str) -> Option<Plant> {
-        Plant::ALL
+    pub fn named(name: &str) -> Option<InjectedBug> {
+        InjectedBug::ALL
             .into_iter()
             .zip(["lying-disk", "old-name", "stale-read"])
             .find(|(_, n)| *n == name)
@@ -76,17 +76,17 @@
     pub seed: u64,
     /// Heads that keep at first, and heads in all.
     pub heads: (usize, usize),
-    /// How long faults strike, in virtual time.
-    pub strikes_for: Duration,
-    /// What is planted.
-    pub plant: Option<Plant>,
+    /// How long faults are injected, in virtual time.
+    pub faults_for: Duration,
+    /// What is injected.
+    pub bug: Option<InjectedBug>,
 }
 
 /// What came of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Report {
-    /// Faults by kind, with how often each struck.
-    pub struck: BTreeMap<Strike, u64>,
+    /// Faults by kind, with how often each was injected.
+    pub injected: BTreeMap<Fault, u64>,
     /// Changes that were acknowledged, and calls that were not answered with one.
     pub acknowledged: u64,
     /// Calls that were refused or not answered in time.
@@ -103,7 +103,7 @@
     /// How many.
     pub runs: u64,
     /// Sums over all.
-    pub struck: BTreeMap<Strike, u64>,
+    pub injected: BTreeMap<Fault, u64>,
     /// Changes that were acknowledged.
     pub acknowledged: u64,
     /// Calls that were refused or not answered in time.
@@ -122,8 +122,8 @@
             self.refused,
             self.broken.len()
         );
-        for (strike, count) in &self.struck {
-            text.push_str(&format!("{strike:?}: {count}\n").to_lowercase());
+        for (fault, count) in &self.injected {
+            text.push_str(&format!("{fault:?}: {count}\n").to_lowercase());
         }
         for (seed, what) in self.broken.iter().take(10) {
             text.push_str(&format!("seed {seed}: {what}\n"));
@@ -149,8 +149,8 @@
                     all.runs += 1;
                     all.acknowledged += report.acknowledged;
                     all.refused += report.refused;
-                    for (strike, count) in report.struck {
-                        *all.struck.entry(strike).or_default() += count;
+                    for (fault, count) in report.injected {
+                        *all.injected.entry(fault).or_default() += count;
                     }
                     all.broken.extend(report.broken.into_iter().next().map(|what| (seed, what)));
                 }
@@ -162,7 +162,7 @@
 
 /// Between looks of the auditor, and at connections that wait for a head.
 const TICK: Duration = Duration::from_millis(2);
-/// Time for all to come together once nothing strikes any more.
+/// Time for all to come together once no fault is injected any more.
 const HEAL: Duration = Duration::from_secs(60);
 
 /// Plays one run.
@@ -172,9 +172,9 @@
         return Report { broken: vec!["no runtime".into()], ..Report::default() };
     };
     let report = LocalSet::new().block_on(&runtime, async {
-        World::begin(source(run.seed, 1));
+        Simulator::begin(source(run.seed, 1));
         let report = Play::new(run).play().await;
-        World::end();
+        Simulator::end();
         report
     });
     runtime.shutdown_background();
@@ -185,14 +185,14 @@
     run: Run,
     heads: Rc<RefCell<Heads>>,
     auditor: Rc<RefCell<Auditor>>,
-    strikes: Strikes,
+    faults: FaultSchedule,
 }
 
 impl Play {
     fn new(run: Run) -> Play {
-        let heads = Heads::new(run.heads, run.seed, run.plant);
-        let strikes = Strikes::new(Chance::new(run.seed, 2), run.heads.1);
-        Play { run, heads: Rc::new(RefCell::new(heads)), auditor: Rc::default(), strikes }
+        let heads = Heads::new(run.heads, run.seed, run.bug);
+        let faults = FaultSchedule::new(Chance::new(run.seed, 2), run.heads.1);
+        Play { run, heads: Rc::new(RefCell::new(heads)), auditor: Rc::default(), faults }
     }
 
     async fn play(mut self) -> Report {
@@ -206,15 +206,15 @@
         }
         let clients: Vec<_> = (0..3).map(|client| self.client(client)).collect();
         let begun = tokio::time::Instant::now();
-        while begun.elapsed() < self.run.strikes_for && self.auditor.borrow().is_well() {
+        while begun.elapsed() < self.run.faults_for && self.auditor.borrow().is_well() {
             self.tick().await;
-            self.strike().await;
+            self.inject_fault().await;
         }
         clients.into_iter().for_each(|client| client.abort());
         self.heal().await;
         let auditor = self.auditor.borrow();
         Report {
-            struck: self.strikes.struck.clone(),
+            injected: self.faults.injected.clone(),
             acknowledged: auditor.acknowledged(),
             refused: auditor.refused,
             broken: auditor.broken.clone(),
@@ -226,7 +226,7 @@
         tokio::time::sleep(TICK).await;
         let mut heads = self.heads.borrow_mut();
         heads.take_connections();
-        heads.look(&mut self.auditor.borrow_mut());
+        heads.observe(&mut self.auditor.borrow_mut());
     }
 
     async fn start(&self, head: usize) -> Result<(), String> {
@@ -254,9 +254,9 @@
         begun.unwrap_or(Ok(()))
     }
 
-    async fn strike(&mut self) {
-        let Some(strike) = self.strikes.due(&self.heads.borrow()) else { return };
-        let up = self.heads.borrow_mut().strike(strike, &mut self.strikes);
+    async fn inject_fault(&mut self) {
+        let Some(fault) = self.faults.due(&self.heads.borrow()) else { return };
+        let up = self.heads.borrow_mut().inject(fault, &mut self.faults);
         for head in up {
             if let Err(what) = self.start(head).await {
                 self.auditor.borrow_mut().broke(format!("head {head} does not start again: {what}"));
@@ -290,7 +290,7 @@
     fn client(&self, client: u64) -> tokio::task::JoinHandle<()> {
         let (heads, auditor) = (Rc::clone(&self.heads), Rc::clone(&self.auditor));
         let mut chance = Chance::new(self.run.seed, 10 + client);
-        let stale = self.run.plant == Some(Plant::StaleRead);
+        let stale = self.run.bug == Some(InjectedBug::StaleRead);
         tokio::task::spawn_local(async move {
             for number in 0.. {
                 tokio::time::sleep(Duration::from_millis(5 + chance.below(60))).await;
--- a/crates/rehearse/src/fleet/net.rs
+++ b/crates/rehearse/src/fleet/net.rs
@@ -1,8 +1,8 @@
-//! The network between heads of the fleet's World: connections with a latency, that are cut, stalled, or lose what
-//! goes one way.
+//! The network between heads of the fleet's simulator: connections with a latency, that are cut, stalled, or lose
+//! what goes one way.
 
 use super::Chance;
-use sedgerun::fleet::outside::{Dial, Dialing, Wire};
+use sedgerun::fleet::environment::{Connection, Dial, DialFuture};
 use std::collections::BTreeMap;
 use std::io;
 use std::net::SocketAddr;
@@ -19,7 +19,7 @@
 
 /// What becomes of whatever goes from one head to another.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Way {
+pub enum LinkState {
     /// It arrives.
     #[default]
     Pass,
@@ -34,10 +34,10 @@
 struct Inner {
     chance: Chance,
     places: BTreeMap<SocketAddr, usize>,
-    incoming: Vec<Option<mpsc::UnboundedSender<Wire>>>,
-    ways: BTreeMap<(usize, usize), Way>,
+    incoming: Vec<Option<mpsc::UnboundedSender<Connection>>>,
+    states: BTreeMap<(usize, usize), LinkState>,
     /// Connections by their ends, the one that dialed first.
-    wires: Vec<(usize, usize, AbortHandle)>,
+    connections: Vec<(usize, usize, AbortHandle)>,
 }
 
 /// The network.
@@ -45,12 +45,12 @@
 pub struct Net(Arc<Mutex<Inner>>);
 
 /// A head's way to the network.
-pub struct Plug {
+pub struct NetworkPort {
     net: Net,
     own: usize,
 }
 
-impl std::fmt::Debug for Plug {
+impl std::fmt::Debug for NetworkPort {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "the plug of head {}", self.own)
     }
@@ -65,8 +65,8 @@
             chance,
             places,
             incoming,
-            ways: BTreeMap::new(),
-            wires: Vec::new(),
+            states: BTreeMap::new(),
+            connections: Vec::new(),
         })))
     }
 
@@ -75,12 +75,12 @@
     }
 
     /// A head's way to it.
-    pub fn plug(&self, own: usize) -> Arc<Plug> {
-        Arc::new(Plug { net: self.clone(), own })
+    pub fn port(&self, own: usize) -> Arc<NetworkPort> {
+        Arc::new(NetworkPort { net: self.clone(), own })
     }
 
     /// A head is up: its connections come here.
-    pub fn up(&self, head: usize) -> mpsc::UnboundedReceiver<Wire> {
+    pub fn up(&self, head: usize) -> mpsc::UnboundedReceiver<Connection> {
         let (sender, receiver) = mpsc::unbounded_channel();
         self.lock().incoming[head] = Some(sender);
         receiver
@@ -94,30 +94,30 @@
     }
 
     /// What becomes from now on of what goes from one head to another.
-    pub fn set(&self, from: usize, to: usize, way: Way) {
+    pub fn set(&self, from: usize, to: usize, state: LinkState) {
         let mut inner = self.lock();
-        if way == Way::Pass {
-            inner.ways.remove(&(from, to))
+        if state == LinkState::Pass {
+            inner.states.remove(&(from, to))
         } else {
-            inner.ways.insert((from, to), way)
+            inner.states.insert((from, to), state)
         };
-        if way == Way::Cut {
+        if state == LinkState::Cut {
             inner.drop_wires(|a, b| (a, b) == (from, to) || (b, a) == (from, to));
         }
     }
 
     /// All is well again.
     pub fn heal(&self) {
-        self.lock().ways.clear();
+        self.lock().states.clear();
     }
 
     /// Whether nothing is wrong between heads.
     pub fn is_well(&self) -> bool {
-        self.lock().ways.is_empty()
+        self.lock().states.is_empty()
     }
 
-    fn way(&self, from: usize, to: usize) -> Way {
-        self.lock().ways.get(&(from, to)).copied().unwrap_or_default()
+    fn state(&self, from: usize, to: usize) -> LinkState {
+        self.lock().states.get(&(from, to)).copied().unwrap_or_default()
     }
 
     fn latency(&self) -> Duration {
@@ -133,10 +133,10 @@
         let mut bytes = vec![0; 16 << 10];
         while let Ok(read @ 1..) = from.read(&mut bytes).await {
             tokio::time::sleep(self.latency()).await;
-            while self.way(ends.0, ends.1) == Way::Stall {
+            while self.state(ends.0, ends.1) == LinkState::Stall {
                 tokio::time::sleep(STALL_LOOK).await;
             }
-            if self.way(ends.0, ends.1) == Way::Lose {
+            if self.state(ends.0, ends.1) == LinkState::Lose {
                 continue;
             }
             if to.write_all(&bytes[..read]).await.is_err() {
@@ -146,12 +146,12 @@
         let _ = to.shutdown().await;
     }
 
-    async fn connect(self, own: usize, at: SocketAddr) -> io::Result<Wire> {
+    async fn connect(self, own: usize, at: SocketAddr) -> io::Result<Connection> {
         tokio::time::sleep(self.latency()).await;
         let refused = || io::Error::from(io::ErrorKind::ConnectionRefused);
         let mut inner = self.lock();
         let to = *inner.places.get(&at).ok_or_else(refused)?;
-        let cut = [(own, to), (to, own)].iter().any(|ends| inner.ways.get(ends) == Some(&Way::Cut));
+        let cut = [(own, to), (to, own)].iter().any(|ends| inner.states.get(ends) == Some(&LinkState::Cut));
         let door = inner.incoming[to].clone().filter(|_| !cut).ok_or_else(refused)?;
         let ((near, near_far), (far_near, far)) = (tokio::io::duplex(ROOM), tokio::io::duplex(ROOM));
         door.send(Box::new(far)).map_err(|_| refused())?;
@@ -159,25 +159,25 @@
             (tokio::io::split(near_far), tokio::io::split(far_near));
         let there = tokio::spawn(self.clone().pump(read_near, write_far, (own, to)));
         let back = tokio::spawn(self.clone().pump(read_far, write_near, (to, own)));
-        inner.wires.retain(|(_, _, wire)| !wire.is_finished());
-        inner.wires.extend([(own, to, there.abort_handle()), (own, to, back.abort_handle())]);
+        inner.connections.retain(|(_, _, connection)| !connection.is_finished());
+        inner.connections.extend([(own, to, there.abort_handle()), (own, to, back.abort_handle())]);
         Ok(Box::new(near))
     }
 }
 
 impl Inner {
     fn drop_wires(&mut self, which: impl Fn(usize, usize) -> bool) {
-        self.wires.retain(|(from, to, wire)| {
+        self.connections.retain(|(from, to, connection)| {
             if which(*from, *to) {
-                wire.abort();
+                connection.abort();
             }
             !which(*from, *to)
         });
     }
 }
 
-impl Dial for Plug {
-    fn dial(&self, to: SocketAddr) -> Dialing {
+impl Dial for NetworkPort {
+    fn dial(&self, to: SocketAddr) -> DialFuture {
         Box::pin(self.net.clone().connect(self.own, to))
     }
 }
--- a/crates/rehearse/src/lib.rs
+++ b/crates/rehearse/src/lib.rs
@@ -4,6 +4,7 @@
 pub mod auditor;
 pub mod draw;
 pub mod experiment;
+pub mod fault_proxy;
 pub mod figures;
 pub mod fleet;
 pub mod model;
@@ -12,5 +13,4 @@
 pub mod scenario;
 pub mod script;
 pub mod sockets;
-pub mod troublemaker;
 pub mod world;
--- a/crates/rehearse/src/main.rs
+++ b/crates/rehearse/src/main.rs
@@ -4,7 +4,7 @@
 use indicatif::{ProgressBar, ProgressStyle};
 use sedgerun::config::Sources;
 use sedgerun::{command, logging};
-use sedgerun_rehearse::fleet::{self, Plant};
+use sedgerun_rehearse::fleet::{self, InjectedBug};
 use sedgerun_rehearse::report::{Chart, compare_table, figure, lines, page, spread_table, table};
 use sedgerun_rehearse::scenario::Scenario;
 use sedgerun_rehearse::world;
@@ -247,14 +247,14 @@
             Ok(true)
         }
         Command::Store { from, seeds, heads, seconds, threads, plant } => {
-            let plant =
-                plant.map(|name| Plant::named(&name).ok_or(plain(format!("--plant {name}: unknown"))));
+            let bug =
+                plant.map(|name| InjectedBug::named(&name).ok_or(plain(format!("--plant {name}: unknown"))));
             let [keepers, all] = heads[..] else { return Err(plain("--heads: two numbers")) };
             let run = fleet::Run {
                 seed: from,
                 heads: (keepers, all),
-                strikes_for: Duration::from_secs(seconds),
-                plant: plant.transpose()?,
+                faults_for: Duration::from_secs(seconds),
+                bug: bug.transpose()?,
             };
             let all = fleet::play_all(run, seeds, threads.max(1));
             println!("{}", all.table());
