--- a/crates/rehearse/src/scale/mod.rs
+++ b/crates/rehearse/src/scale/mod.rs
@@ -1,3 +1,4 @@
 //! Scale runs: hollow heads beside real ones on loopback, and what each role costs at growing sizes.
 
+pub mod process;
 pub mod results;
--- a/crates/rehearse/src/sockets/heads.rs
+++ b/crates/rehearse/src/sockets/heads.rs
@@ -3,6 +3,7 @@
 use super::Stand;
 use super::boxes::Host;
 use super::registry::Registrar;
+use crate::scale::process;
 use sedgerun_decide::api::Micros;
 use serde_json::{Value, json};
 use std::cell::{Cell, RefCell};
@@ -77,14 +78,9 @@
     text
 }
 
-/// CPU time of all threads of a process, us: the scheduler's own count in nanoseconds.
+/// Processor time of a process, us; nothing where it is no more.
 fn cpu(process: u32) -> Micros {
-    let threads = std::fs::read_dir(format!("/proc/{process}/task"));
-    let each = threads.into_iter().flatten().flatten().filter_map(|thread| {
-        let text = std::fs::read_to_string(thread.path().join("schedstat")).ok()?;
-        text.split(' ').next()?.parse::<u64>().ok()
-    });
-    each.sum::<u64>() / 1000
+    process::cpu_time(process).map_or(0, |time| time.as_micros() as Micros)
 }
 
 impl Heads {
