--- a/crates/rehearse/src/main.rs
+++ b/crates/rehearse/src/main.rs
@@ -6,6 +6,7 @@
 use sedgerun::{command, logging};
 use sedgerun_rehearse::fleet::{self, Plant};
 use sedgerun_rehearse::report::{Chart, compare_table, figure, lines, page, spread_table, table};
+use sedgerun_rehearse::scale::discovery;
 use sedgerun_rehearse::scenario::Scenario;
 use sedgerun_rehearse::world;
 use sedgerun_rehearse::{experiment, sockets};
@@ -155,6 +156,9 @@
     /// Run one head, as `sedgerun serve` does: what heads on sockets are processes of
     #[command(hide = true)]
     Serve,
+    /// Run the stand-in for discovery, told what to do on standard input: a process of scale runs
+    #[command(hide = true)]
+    ScaleDiscovery,
     /// Write tables and charts of all results in a folder, as its README.md
     Report {
         /// The folder
@@ -260,6 +264,10 @@
             println!("{}", all.table());
             Ok(all.broken.is_empty())
         }
+        Command::ScaleDiscovery => {
+            discovery::run().map_err(plain)?;
+            Ok(true)
+        }
         // Dealt with before all else.
         Command::Serve => Ok(true),
         Command::Report { folder } => {
--- a/crates/rehearse/src/sockets/http.rs
+++ b/crates/rehearse/src/sockets/http.rs
@@ -1,8 +1,9 @@
 //! HTTP/1.1 messages on a socket, read with httparse: as much as clients, boxes and the registry of a rehearsal
 //! need.
 
+use bytes::Buf;
 use std::io;
-use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use tokio::net::TcpStream;
 
 /// The largest head, and the largest body.
@@ -32,8 +33,8 @@
 }
 
 /// A connection with what came ahead on it.
-pub struct Wire {
-    stream: TcpStream,
+pub struct Wire<S = TcpStream> {
+    stream: S,
     ahead: Vec<u8>,
 }
 
@@ -45,6 +46,13 @@
     /// A connection on which nothing came yet.
     pub fn new(stream: TcpStream) -> Wire {
         let _ = stream.set_nodelay(true);
+        Wire::over(stream)
+    }
+}
+
+impl<S: AsyncRead + AsyncWrite + Unpin> Wire<S> {
+    /// A connection over any stream; its socket options are the caller's.
+    pub fn over(stream: S) -> Wire<S> {
         Wire { stream, ahead: Vec::new() }
     }
 
@@ -83,6 +91,11 @@
         self.stream.write_all(bytes).await
     }
 
+    /// Writes a message that lies in several pieces.
+    pub async fn write_buffer(&mut self, mut buffer: impl Buf) -> io::Result<()> {
+        self.stream.write_all_buf(&mut buffer).await
+    }
+
     /// Answers with a status, a header line and a body.
     pub async fn answer(&mut self, status: &str, header: &str, body: &str) -> io::Result<()> {
         let text = format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n{header}\r\n{body}", body.len());
--- a/crates/rehearse/src/sockets/mod.rs
+++ b/crates/rehearse/src/sockets/mod.rs
@@ -4,7 +4,7 @@
 mod boxes;
 mod clients;
 mod heads;
-mod http;
+pub(crate) mod http;
 mod ninep;
 mod registry;
 
