--- a/crates/rehearse/src/lib.rs
+++ b/crates/rehearse/src/lib.rs
@@ -2,6 +2,7 @@
 //! clients, in one deterministic simulator or on loopback sockets, under a script of faults; and scale runs.
 
 pub mod auditor;
+pub mod capacity;
 pub mod draw;
 pub mod experiment;
 pub mod figures;
--- a/crates/rehearse/src/main.rs
+++ b/crates/rehearse/src/main.rs
@@ -4,6 +4,7 @@
 use indicatif::{ProgressBar, ProgressStyle};
 use sedgerun::config::Sources;
 use sedgerun::{command, logging};
+use sedgerun_rehearse::capacity::{self, Outcome};
 use sedgerun_rehearse::fleet::{self, Plant};
 use sedgerun_rehearse::report::{Chart, compare_table, figure, lines, page, spread_table, table};
 use sedgerun_rehearse::scenario::Scenario;
@@ -44,6 +45,32 @@
     program: Option<PathBuf>,
 }
 
+#[derive(Args)]
+struct CapacityArgs {
+    /// Records of scale runs: files, or directories with before/ and after/ in them
+    #[arg(long, num_args = 1.., default_value = "docs/measurements/scale")]
+    results: Vec<PathBuf>,
+    /// The size to work out
+    #[arg(long, default_value = "deploy/targets/two-years.sexp")]
+    target: PathBuf,
+    /// Compare the tables of this page
+    #[arg(long, value_name = "PAGE", conflicts_with = "write")]
+    check: Option<PathBuf>,
+    /// Put the tables into this page
+    #[arg(long, value_name = "PAGE")]
+    write: Option<PathBuf>,
+}
+
+impl CapacityArgs {
+    fn action(&self) -> capacity::Action {
+        match (&self.check, &self.write) {
+            (Some(page), _) => capacity::Action::Check(page.clone()),
+            (None, Some(page)) => capacity::Action::Write(page.clone()),
+            (None, None) => capacity::Action::Print,
+        }
+    }
+}
+
 impl Which {
     /// Plays once, in World or on sockets.
     fn play(&self, scenario: &Scenario, seed: u64, plant: Option<world::Plant>) -> Result<Value, Faults> {
@@ -155,6 +182,9 @@
     /// Run one head, as `sedgerun serve` does: what heads on sockets are processes of
     #[command(hide = true)]
     Serve,
+    /// Work out what a fleet of the target's size needs, from the records of scale runs, as Markdown tables; with
+    /// --check, exit status 1 where a page holds others
+    Capacity(CapacityArgs),
     /// Write tables and charts of all results in a folder, as its README.md
     Report {
         /// The folder
@@ -262,6 +292,7 @@
         }
         // Dealt with before all else.
         Command::Serve => Ok(true),
+        Command::Capacity(args) => work_out_capacity(&args),
         Command::Report { folder } => {
             println!("{}", page(Path::new(&folder)).map_err(plain)?);
             Ok(true)
@@ -269,6 +300,18 @@
     }
 }
 
+fn work_out_capacity(args: &CapacityArgs) -> Result<bool, Faults> {
+    match capacity::run(&args.results, &args.target, &args.action()).map_err(plain)? {
+        Outcome::Printed(tables) => print!("{tables}"),
+        Outcome::Same | Outcome::Written => (),
+        Outcome::Differs(difference) => {
+            eprintln!("{difference}");
+            return Ok(false);
+        }
+    }
+    Ok(true)
+}
+
 fn run_once(which: &Which, plant: Option<&str>) -> Result<bool, Faults> {
     let scenario = load(which)?;
     let plant = plant.map(|name| {
