--- a/crates/head/src/back/answer.rs
+++ b/crates/head/src/back/answer.rs
@@ -5,6 +5,7 @@
 
 use super::Begun;
 use crate::descriptors::Held;
+use crate::traffic::Traffic;
 use actix_codec::{AsyncRead, AsyncWrite, Decoder, ReadBuf};
 use actix_http::ResponseHead;
 use actix_http::h1::{ClientCodec, ClientPayloadCodec, MessageType};
@@ -16,6 +17,7 @@
 use std::io;
 use std::pin::Pin;
 use std::rc::Rc;
+use std::sync::Arc;
 use std::task::{Context, Poll};
 
 /// The largest head of an answer.
@@ -183,15 +185,17 @@
     inbox: BytesMut,
     /// What is left to hand on of an answer.
     ready: BytesMut,
+    /// Where its payload is counted, if anywhere.
+    traffic: Option<Arc<Traffic>>,
     /// Its descriptor.
     _held: Held,
 }
 
 impl Whole {
-    /// Reads answers with bodies that there is room for.
-    pub fn new(stream: TcpStream, room: Room, held: Held) -> Whole {
+    /// Reads answers with bodies that there is room for; its payload is counted where `traffic` is given.
+    pub fn new(stream: TcpStream, room: Room, held: Held, traffic: Option<Arc<Traffic>>) -> Whole {
         let (inbox, ready) = Default::default();
-        Whole { stream, room, reader: None, inbox, ready, _held: held }
+        Whole { stream, room, reader: None, inbox, ready, traffic, _held: held }
     }
 
     /// Reads what is there; 0 at the connection's end.
@@ -203,6 +207,9 @@
             Poll::Ready(Err(error)) => Poll::Ready(Err(error)),
             Poll::Ready(Ok(())) => {
                 self.inbox.extend_from_slice(buf.filled());
+                if let Some(traffic) = &self.traffic {
+                    traffic.add_bytes_received(buf.filled().len());
+                }
                 Poll::Ready(Ok(buf.filled().len()))
             }
         }
@@ -235,6 +242,9 @@
                 let more = !this.inbox.is_empty() || this.fill(cx).is_ready();
                 this.frame(&head, &body, more || !head.keep_alive());
                 this.reader = None;
+                if let Some(traffic) = &this.traffic {
+                    traffic.add_message_received();
+                }
                 break;
             }
             match this.fill(cx) {
@@ -262,8 +272,16 @@
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         let this = self.get_mut();
         Begun::mark();
+        let begins = this.reader.is_none();
         this.reader.get_or_insert_with(|| Reader::new(&this.room));
-        Pin::new(&mut this.stream).poll_write(cx, buf)
+        let written = Pin::new(&mut this.stream).poll_write(cx, buf);
+        if let (Some(traffic), Poll::Ready(Ok(written))) = (&this.traffic, &written) {
+            traffic.add_bytes_sent(*written);
+        }
+        if let (Some(traffic), true) = (&this.traffic, begins) {
+            traffic.add_message_sent();
+        }
+        written
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
--- a/crates/head/src/back/http.rs
+++ b/crates/head/src/back/http.rs
@@ -4,6 +4,7 @@
 use super::answer::{Room, Taken, Whole};
 use crate::descriptors::Descriptors;
 use crate::ids::HeldId;
+use crate::traffic::Traffic;
 use actix_http::{Method, StatusCode, Uri};
 use actix_rt::net::TcpStream;
 use actix_service::{Service, apply_fn};
@@ -22,6 +23,7 @@
 use std::collections::BTreeMap;
 use std::io;
 use std::net::SocketAddr;
+use std::sync::Arc;
 use std::time::Duration;
 
 /// The largest body of a request that needs no room of its own.
@@ -73,8 +75,14 @@
 }
 
 /// A client that queues nothing, follows nothing, and has no clock but the caller's. It opens a connection while
-/// `least` descriptors are left.
-pub fn client(spans: Spans, room: &Room, descriptors: &Descriptors, least: usize) -> Client {
+/// `least` descriptors are left, and counts payload where `traffic` is given.
+pub fn client(
+    spans: Spans,
+    room: &Room,
+    descriptors: &Descriptors,
+    least: usize,
+    traffic: Option<Arc<Traffic>>,
+) -> Client {
     let (room, descriptors) = (room.clone(), descriptors.clone());
     // Guards against Nagle's algorithm, which awc leaves on: the last part of a large write would wait for
     // an acknowledgement that the node delays.
@@ -84,14 +92,14 @@
         // Guards against a connection for which there is no descriptor, or only those held back for discovery.
         let held = (descriptors.left() >= least).then(|| descriptors.take());
         let made = held.map(|held| (held, dial.call(uri)));
-        let room = room.clone();
+        let (room, traffic) = (room.clone(), traffic.clone());
         async move {
             let (held, made) =
                 made.ok_or_else(|| TcpConnectError::Io(io::Error::from_raw_os_error(EMFILE)))?;
             let made: Connection<Uri, TcpStream> = made.await?;
             let _ = made.io_ref().set_nodelay(true);
             let (stream, uri) = made.into_parts();
-            Ok(Connection::new(uri, Whole::new(stream, room, held)))
+            Ok(Connection::new(uri, Whole::new(stream, room, held, traffic)))
         }
     });
     let connector = Connector::new()
@@ -129,7 +137,7 @@
             .clients
             .borrow_mut()
             .entry(address)
-            .or_insert_with(|| client(self.spans, &self.room, &self.descriptors, 1))
+            .or_insert_with(|| client(self.spans, &self.room, &self.descriptors, 1, None))
             .clone();
         let url = format!("http://{address}{}", job.target);
         let mut request = client
--- a/crates/head/src/discovery.rs
+++ b/crates/head/src/discovery.rs
@@ -156,6 +156,7 @@
         &Room::new(MOST_LIST, MOST_LIST),
         hub.backs().descriptors(),
         0,
+        Some(hub.figures.discovery.clone()),
     )
 }
 
--- a/crates/head/src/figures.rs
+++ b/crates/head/src/figures.rs
@@ -1,8 +1,10 @@
 //! The figures that operators read with `show-stat`, in the text exposition format of Prometheus
 //! (`name{label="value"} count`, one a line). Counts run from the start of the process.
 
+use crate::traffic::Traffic;
 use std::cell::{Cell, RefCell};
 use std::fmt::Write;
+use std::sync::Arc;
 
 /// How a request ended, as the figures count it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -28,6 +30,8 @@
 #[derive(Debug, Default)]
 pub struct Figures {
     counts: RefCell<Vec<[Cell<u64>; 4]>>,
+    /// What is said to discovery and heard from it.
+    pub discovery: Arc<Traffic>,
 }
 
 impl Figures {
--- a/crates/head/src/fleet/link.rs
+++ b/crates/head/src/fleet/link.rs
@@ -3,6 +3,7 @@
 
 use super::environment::{Connection, Dial, now};
 use super::types::{Call, Raft, Reply, Types, VoterAddress, address};
+use crate::traffic::{Counted, Traffic, TrafficTotals};
 use openraft::error::{InstallSnapshotError, NetworkError, RPCError, RaftError, RemoteError, Unreachable};
 use openraft::network::RPCOption;
 use openraft::raft::{
@@ -31,9 +32,12 @@
 /// Idle connections kept to one head.
 const MAX_IDLE: usize = 8;
 
+/// A connection to another head whose payload and messages are counted.
+pub type CountedConnection = Counted<Connection>;
+
 /// Writes one frame.
 pub async fn send<T: Serialize>(
-    stream: &mut Connection,
+    stream: &mut CountedConnection,
     record_type: RecordType,
     value: &T,
 ) -> io::Result<()> {
@@ -43,11 +47,16 @@
     }
     let mut frame = (record.len() as u32).to_le_bytes().to_vec();
     frame.extend(record);
-    stream.write_all(&frame).await
+    stream.write_all(&frame).await?;
+    stream.traffic().add_message_sent();
+    Ok(())
 }
 
 /// Reads one frame. A malformed one is an error of the kind `InvalidData`.
-pub async fn receive<T: DeserializeOwned>(stream: &mut Connection, record_type: RecordType) -> io::Result<T> {
+pub async fn receive<T: DeserializeOwned>(
+    stream: &mut CountedConnection,
+    record_type: RecordType,
+) -> io::Result<T> {
     let corrupt = |what: String| io::Error::new(io::ErrorKind::InvalidData, what);
     let length = stream.read_u32_le().await? as usize;
     if length > MAX_FRAME {
@@ -59,6 +68,7 @@
     if record.len() < length {
         return Err(io::ErrorKind::UnexpectedEof.into());
     }
+    stream.traffic().add_message_received();
     record::open(record_type, &record).map_err(|error| corrupt(error.to_string()))
 }
 
@@ -69,13 +79,14 @@
 struct Inner {
     own: Mutex<Greeting>,
     routes: BTreeMap<String, SocketAddr>,
-    idle: Mutex<HashMap<SocketAddr, Vec<Connection>>>,
+    idle: Mutex<HashMap<SocketAddr, Vec<CountedConnection>>>,
     watermarks: Mutex<Watermarks>,
     /// Another head has said that this one is an older copy of its disk.
     rolled_back: AtomicBool,
     /// When each voter last answered a call of the protocol.
     answered_at: Mutex<BTreeMap<StoreId, Millis>>,
     dial: Arc<dyn Dial>,
+    traffic: Arc<Traffic>,
 }
 
 impl Links {
@@ -95,6 +106,7 @@
             rolled_back,
             answered_at: Mutex::default(),
             dial,
+            traffic: Arc::default(),
         }))
     }
 
@@ -107,6 +119,16 @@
         self.0.answered_at.lock().unwrap_or_else(PoisonError::into_inner).insert(store, now());
     }
 
+    /// Counts what passes over a connection.
+    pub fn counted(&self, stream: Connection) -> CountedConnection {
+        Counted::new(stream, Arc::clone(&self.0.traffic))
+    }
+
+    /// What has passed between this head and others.
+    pub fn traffic(&self) -> TrafficTotals {
+        self.0.traffic.totals()
+    }
+
     /// What this head says of itself.
     pub fn own(&self) -> Greeting {
         self.0.own.lock().unwrap_or_else(PoisonError::into_inner).clone()
@@ -151,9 +173,9 @@
     }
 
     /// A fresh connection, and what the other end says of itself.
-    pub async fn dial(&self, to: SocketAddr) -> io::Result<(Connection, Greeting)> {
+    pub async fn dial(&self, to: SocketAddr) -> io::Result<(CountedConnection, Greeting)> {
         let greet = async {
-            let mut stream = self.0.dial.dial(to).await?;
+            let mut stream = self.counted(self.0.dial.dial(to).await?);
             let own = self.own();
             send(&mut stream, RecordType::Greeting, &own).await?;
             let theirs: Result<Greeting, Refusal> = receive(&mut stream, RecordType::Greeting).await?;
@@ -196,7 +218,7 @@
     links: Links,
     target: StoreId,
     to: Option<SocketAddr>,
-    stream: Option<Connection>,
+    stream: Option<CountedConnection>,
     /// The incarnation of the store at the other end.
     incarnation: Incarnation,
 }
--- a/crates/head/src/fleet/mod.rs
+++ b/crates/head/src/fleet/mod.rs
@@ -22,6 +22,7 @@
 use crate::config::Config;
 use crate::hub::Hub;
 use crate::tenants::{Export, Registry};
+use crate::traffic::TrafficTotals;
 use environment::{Tcp, random};
 use member::Member;
 pub use member::Unsettled;
@@ -38,10 +39,15 @@
 use std::time::Duration;
 use tokio::runtime::Handle;
 use tokio::sync::watch;
+use types::Status;
 
 /// Time that a change may take to reach this head's own front once it is settled.
 const REACH: Duration = Duration::from_millis(500);
 
+/// What passes between this head and others of the fleet, as `show-stat` names it.
+const FLEET_TRAFFIC: [&str; 4] =
+    ["fleet_bytes_received", "fleet_bytes_sent", "fleet_messages_received", "fleet_messages_sent"];
+
 /// The serving thread's end of the fleet.
 pub struct Fleet {
     runtime: Handle,
@@ -96,6 +102,15 @@
         Ok(Fleet { runtime, member, in_force: watch::Sender::new(0) })
     }
 
+    /// The serving thread's end of a head's part that runs in this very runtime.
+    pub fn of(node: &Node) -> Fleet {
+        Fleet {
+            runtime: Handle::current(),
+            member: Arc::clone(&node.member),
+            in_force: watch::Sender::new(0),
+        }
+    }
+
     /// Makes a change: settled once it is synced at a majority of the voters. On return this head's own front
     /// works with it.
     pub async fn change(&self, change: Change) -> Result<Outcome, Unsettled> {
@@ -143,11 +158,26 @@
         self.member.machine.read(|view| view.bans.clone())
     }
 
+    /// The version that the front works with, as it changes.
+    pub fn in_force(&self) -> watch::Receiver<u64> {
+        self.in_force.subscribe()
+    }
+
+    /// What has passed between this head and others of the fleet.
+    pub fn traffic(&self) -> TrafficTotals {
+        self.member.links.traffic()
+    }
+
+    /// How this head stands.
+    pub fn status(&self) -> Status {
+        self.member.status()
+    }
+
     /// How this head stands, as pairs of a name and a figure.
     pub fn figures(&self) -> Vec<(&'static str, u64)> {
         let status = self.member.status();
         let lag = status.age.unwrap_or(u64::MAX);
-        vec![
+        let mut figures = vec![
             ("fleet_term", status.term),
             ("fleet_is_leader", u64::from(status.role == "leader")),
             ("fleet_is_keeper", u64::from(self.member.votes())),
@@ -160,7 +190,10 @@
             ("fleet_sync_mean_microseconds", status.syncs.2),
             ("fleet_repairs", status.repairs),
             ("fleet_frames_refused", status.refused),
-        ]
+        ];
+        figures.extend(status.depth().map(|depth| ("fleet_depth", depth)));
+        figures.extend(self.traffic().named(FLEET_TRAFFIC));
+        figures
     }
 
     async fn on_fleet<T: Send + 'static>(
--- a/crates/head/src/fleet/node.rs
+++ b/crates/head/src/fleet/node.rs
@@ -5,7 +5,7 @@
 use super::disk::{Disk, Held};
 use super::environment::{Connection, Dial};
 use super::member::{Member, Unsettled};
-use super::serve::serve_connection;
+use super::serve::{MAX_CALLERS, serve_connection};
 use super::settings::Settings;
 use super::types::Status;
 use openraft::ServerState;
@@ -23,6 +23,8 @@
     /// The head as a member.
     pub(super) member: Arc<Member>,
     tasks: JoinSet<()>,
+    /// Tasks that are no connections.
+    own_tasks: usize,
 }
 
 impl Node {
@@ -52,13 +54,17 @@
         tasks.spawn(async move { saving.save_followed().await });
         let repairing = Arc::clone(&member);
         tasks.spawn(async move { repairing.run_repair().await });
-        Ok(Node { member, tasks })
+        Ok(Node { member, own_tasks: tasks.len(), tasks })
     }
 
     /// Takes a connection that another head has made.
     pub fn accept(&mut self, connection: Connection) {
         let member = Arc::clone(&self.member);
         while self.tasks.try_join_next().is_some() {}
+        // Guards against callers that connect and stay: those past the bound are closed at once.
+        if self.tasks.len() >= self.own_tasks + MAX_CALLERS {
+            return;
+        }
         self.tasks.spawn(async move { drop(serve_connection(&member, connection).await) });
     }
 
--- a/crates/head/src/fleet/serve.rs
+++ b/crates/head/src/fleet/serve.rs
@@ -15,7 +15,7 @@
 use tokio::sync::Semaphore;
 
 /// The most heads and command lines that are connected at once.
-const MAX_CALLERS: usize = 128;
+pub const MAX_CALLERS: usize = 128;
 /// A connection on which nothing is asked for so long is closed.
 const IDLE: Duration = Duration::from_secs(60);
 /// Time in which an answer must have left.
@@ -51,7 +51,8 @@
 }
 
 /// Answers one head for as long as it asks.
-pub async fn serve_connection(member: &Member, mut stream: Connection) -> io::Result<()> {
+pub async fn serve_connection(member: &Member, stream: Connection) -> io::Result<()> {
+    let mut stream = member.links.counted(stream);
     let late = |_| io::Error::from(io::ErrorKind::TimedOut);
     let greeting = tokio::time::timeout(GREETING, receive(&mut stream, RecordType::Greeting)).await;
     let mut theirs: Greeting = greeting.map_err(late)??;
--- a/crates/head/src/fleet/types.rs
+++ b/crates/head/src/fleet/types.rs
@@ -183,6 +183,13 @@
     pub trouble: Option<String>,
 }
 
+impl Status {
+    /// Heads between a voter and this one; `None` before it has heard from one.
+    pub fn depth(&self) -> Option<u64> {
+        self.age.map(|_| (self.path.len() as u64).saturating_sub(2))
+    }
+}
+
 /// The address in a text; `None` where it is none.
 pub fn address(text: &str) -> Option<SocketAddr> {
     text.parse().ok()
--- a/crates/head/src/head.rs
+++ b/crates/head/src/head.rs
@@ -121,6 +121,20 @@
     inherited: bool,
 }
 
+/// The decisions of a head with their backs, by its configuration.
+pub fn new_hub(config: &Config) -> Rc<Hub> {
+    let (dial, idle) = (Duration::from_micros(config.dial), Duration::from_micros(config.idle));
+    let spans = Spans { dial, idle };
+    let room = Room::new(config.bounds.answers, config.bounds.answer);
+    let descriptors = Descriptors::new(config.sockets);
+    let http = HttpBack::new(spans, room, descriptors.clone());
+    let backs = Backs::new(http, NinepBack::new(spans.dial, descriptors.clone()), descriptors);
+    for node in &config.operator.boxes {
+        backs.ninep.addresses.borrow_mut().insert(backs.names.node(&node.id), node.address);
+    }
+    Hub::new(Clock::start(), config.settings.clone(), config.seed, config.most_open, backs)
+}
+
 /// What a head listens on, bound before it starts.
 struct Listeners {
     http: TcpListener,
@@ -170,17 +184,7 @@
     /// A head that has not begun to serve.
     pub fn new(config: Config, sources: Sources, fleet: Option<Fleet>) -> Head {
         let config = Rc::new(config);
-        let clock = Clock::start();
-        let (dial, idle) = (Duration::from_micros(config.dial), Duration::from_micros(config.idle));
-        let spans = Spans { dial, idle };
-        let room = Room::new(config.bounds.answers, config.bounds.answer);
-        let descriptors = Descriptors::new(config.sockets);
-        let http = HttpBack::new(spans, room, descriptors.clone());
-        let backs = Backs::new(http, NinepBack::new(spans.dial, descriptors.clone()), descriptors);
-        for node in &config.operator.boxes {
-            backs.ninep.addresses.borrow_mut().insert(backs.names.node(&node.id), node.address);
-        }
-        let hub = Hub::new(clock, config.settings.clone(), config.seed, config.most_open, backs);
+        let hub = new_hub(&config);
         let front = HttpFront::new(Rc::clone(&hub), Rc::clone(&config));
         let tenants = Rc::new(RefCell::new(config.operator.tenants.clone()));
         let ninep = NinepFront::new(Rc::clone(&hub), Rc::clone(&config), Rc::clone(&tenants));
--- a/crates/head/src/lib.rs
+++ b/crates/head/src/lib.rs
@@ -22,4 +22,5 @@
 pub mod mgmt;
 pub mod operator;
 pub mod tenants;
+pub mod traffic;
 pub mod vrrp;
--- a/crates/head/src/mgmt.rs
+++ b/crates/head/src/mgmt.rs
@@ -27,6 +27,14 @@
 /// The first line of the hand-over file.
 const HEADER: &str = "sedgerun bans 1";
 
+/// What is said to discovery and heard from it, as `show-stat` names it.
+const DISCOVERY_TRAFFIC: [&str; 4] = [
+    "discovery_bytes_received",
+    "discovery_bytes_sent",
+    "discovery_messages_received",
+    "discovery_messages_sent",
+];
+
 /// The operators' address of one process.
 pub struct Mgmt {
     hub: Rc<Hub>,
@@ -164,6 +172,7 @@
             ("registry_entries", listed as u64),
             ("out_of_rotation", out as u64),
         ];
+        gauges.extend(self.hub.figures.discovery.totals().named(DISCOVERY_TRAFFIC));
         gauges.extend(self.fleet.iter().flat_map(|fleet| fleet.figures()));
         self.hub.figures.render(&self.config.classes, &gauges)
     }
