--- a/crates/rehearse/src/fleet/harness.rs
+++ b/crates/rehearse/src/fleet/harness.rs
@@ -12,16 +12,34 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-const TOKEN: &str = "known-to-the-rig-alone";
+const TOKEN: &str = "known-to-the-harness-alone";
+/// Ports of a head: for the fleet, for administration, for clients and for operators.
+const PORTS: usize = 4;
+/// A port at which nobody listens: `discard`.
+const UNUSED_PORT: u16 = 9;
 /// Time for whatever is waited for.
 const WITHIN: Duration = Duration::from_secs(30);
 
 struct Head {
     folder: PathBuf,
     admin: SocketAddr,
+    operators: SocketAddr,
     child: Option<Child>,
 }
 
+/// What a fleet of processes is made up of.
+#[derive(Clone, Debug)]
+pub struct HarnessLayout {
+    /// Heads that vote, which are the first.
+    pub voters: usize,
+    /// Heads in all.
+    pub heads: usize,
+    /// Where they find discovery.
+    pub discovery: SocketAddr,
+    /// Zones that they are spread over, in turn; none of them has one where there are none.
+    pub zones: Vec<String>,
+}
+
 /// Heads as processes of a program; all end with it.
 pub struct Harness {
     program: PathBuf,
@@ -34,35 +52,45 @@
 }
 
 impl Harness {
-    /// Starts heads, of which the first keep, and begins their fleet.
+    /// Starts heads, of which the first vote, and begins their fleet. They find no discovery.
     pub fn begin(program: &Path, voters: usize, heads: usize) -> Result<Harness, String> {
+        let discovery = SocketAddr::from((Ipv4Addr::LOCALHOST, UNUSED_PORT));
+        Harness::begin_with(program, &HarnessLayout { voters, heads, discovery, zones: Vec::new() })
+    }
+
+    /// Starts the heads of a layout, and begins their fleet.
+    pub fn begin_with(program: &Path, layout: &HarnessLayout) -> Result<Harness, String> {
+        let (voters, heads) = (layout.voters, layout.heads);
         let root = std::env::temp_dir().join(format!("sedgerun-store-{}-{heads}", std::process::id()));
         // All ports are held until the last is found, so that none comes twice.
         let held: Result<Vec<TcpListener>, _> =
-            (0..3 * heads).map(|_| TcpListener::bind((Ipv4Addr::LOCALHOST, 0))).collect();
+            (0..PORTS * heads).map(|_| TcpListener::bind((Ipv4Addr::LOCALHOST, 0))).collect();
         let ports: Result<Vec<SocketAddr>, _> =
             held.map_err(text)?.iter().map(TcpListener::local_addr).collect();
         let ports = ports.map_err(text)?;
         let scenario = Scenario::read("(scenario store (seconds 1) (heads 1) (boxes 1))").map_err(text)?;
         let settings = Drawn::new(&scenario, 1).map_err(text)?.json;
-        let named: Vec<String> = (0..voters).map(|head| format!("\"n{head}={}\"", ports[3 * head])).collect();
+        let named: Vec<String> =
+            (0..voters).map(|head| format!("\"n{head}={}\"", ports[PORTS * head])).collect();
         let mut harness = Harness { program: program.to_owned(), root: root.clone(), heads: Vec::new() };
         for head in 0..heads {
             let folder = root.join(format!("n{head}"));
             std::fs::create_dir_all(&folder).map_err(text)?;
-            let [fleet, admin, http] = [ports[3 * head], ports[3 * head + 1], ports[3 * head + 2]];
+            let [fleet, admin, http, operators] = std::array::from_fn(|port| ports[PORTS * head + port]);
             let config = json!({"name": format!("n{head}"), "listen": http.to_string(),
-                "discovery": "127.0.0.1:9", "seed": format!("{head:x}"), "settings": settings,
+                "mgmt": operators.to_string(), "discovery": layout.discovery.to_string(), "seed": format!("{head:x}"), "settings": settings,
                 "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}});
+            let zone = layout.zones.get(head % layout.zones.len().max(1));
+            let zone = zone.map_or_else(String::new, |zone| format!(" (zone \"{zone}\")"));
             let operator = format!(
                 "(admin (listen \"{admin}\") (token \"{TOKEN}\"))\n(fleet (name \"demo\") \
-                 (secret \"known to the rig alone\") (listen \"{fleet}\") (dir \"{}\") (keepers {}))\n",
+                 (secret \"known to the harness alone\") (listen \"{fleet}\") (dir \"{}\") (keepers {}){zone})\n",
                 folder.join("store").display(),
                 named.join(" ")
             );
             std::fs::write(folder.join("config.json"), config.to_string()).map_err(text)?;
             std::fs::write(folder.join("operator.sexp"), operator).map_err(text)?;
-            harness.heads.push(Head { folder, admin, child: None });
+            harness.heads.push(Head { folder, admin, operators, child: None });
             harness.start(head)?;
         }
         let settings = harness.settings(0)?;
@@ -76,7 +104,8 @@
         Sources { config: file("config.json"), operator: Some(file("operator.sexp")) }
     }
 
-    fn settings(&self, head: usize) -> Result<Settings, String> {
+    /// The settings of a head's part in the fleet.
+    pub fn settings(&self, head: usize) -> Result<Settings, String> {
         let config = self.sources(head).read().map_err(text)?;
         config.operator.fleet.ok_or("no (fleet ...)".to_owned())
     }
@@ -86,19 +115,25 @@
         let Sources { config, operator } = self.sources(head);
         let log = std::fs::File::create(self.heads[head].folder.join("log")).map_err(text)?;
         let mut command = Command::new(&self.program);
-        command.arg("serve").env("LB_CONFIG", config).env("LB_OPERATOR", operator.unwrap_or_default());
-        let child = command.stdin(Stdio::null()).stderr(log).spawn().map_err(text)?;
+        command.args(["serve", "--end-with-input"]);
+        command.env("LB_CONFIG", config).env("LB_OPERATOR", operator.unwrap_or_default());
+        let child = command.stdin(Stdio::piped()).stderr(log).spawn().map_err(text)?;
         self.heads[head].child = Some(child);
         let admin = self.heads[head].admin;
         self.until("a head listens", |_| TcpStream::connect(admin).ok()).map(drop)
     }
 
-    /// Kills a head and removes its folder's store.
-    pub fn lose(&mut self, head: usize) {
+    /// Kills a head; its store stays.
+    pub fn kill(&mut self, head: usize) {
         if let Some(mut child) = self.heads[head].child.take() {
             let _ = child.kill();
             let _ = child.wait();
         }
+    }
+
+    /// Kills a head and removes its folder's store.
+    pub fn lose(&mut self, head: usize) {
+        self.kill(head);
         let _ = std::fs::remove_dir_all(self.heads[head].folder.join("store"));
     }
 
@@ -116,6 +151,21 @@
         }
     }
 
+    /// How many heads there are.
+    pub fn count(&self) -> usize {
+        self.heads.len()
+    }
+
+    /// The platform's configuration of a head.
+    pub fn config_file(&self, head: usize) -> PathBuf {
+        self.heads[head].folder.join("config.json")
+    }
+
+    /// The operators' address of a head.
+    pub fn operators(&self, head: usize) -> SocketAddr {
+        self.heads[head].operators
+    }
+
     /// The heads that run.
     pub fn up(&self) -> Vec<usize> {
         (0..self.heads.len()).filter(|head| self.heads[*head].child.is_some()).collect()
@@ -223,12 +273,21 @@
 
     /// Puts an export in place, under a key of its own; whether that is settled.
     pub fn put(&mut self, tenant: &str, export: &str, key: &str) -> bool {
+        self.put_export(tenant, export, key).is_some_and(|(status, _)| status < 300)
+    }
+
+    /// Puts an export in place, under a key of its own; the version that is settled.
+    pub fn put_version(&mut self, tenant: &str, export: &str, key: &str) -> Option<u64> {
+        let (_, body) = self.put_export(tenant, export, key).filter(|(status, _)| *status < 300)?;
+        body["version"].as_u64()
+    }
+
+    fn put_export(&mut self, tenant: &str, export: &str, key: &str) -> Option<(u16, Value)> {
         let body = r#"{"volume":"b1","plan":"PLAN","shard":3,"readClass":"READ","writeClass":"WRITE","largeClass":"READ"}"#;
         let names = super::demo::names();
         let body = body.replace("PLAN", &names.0).replace("READ", &names.1).replace("WRITE", &names.2);
         let request = format!("PUT /v1/tenants/{tenant}/exports/{export}");
         self.call(&request, &format!("Idempotency-Key: {key}\r\n"), &body)
-            .is_some_and(|(status, _)| status < 300)
     }
 
     /// The exports of a tenant, as settled by now.
--- a/crates/rehearse/src/main.rs
+++ b/crates/rehearse/src/main.rs
@@ -7,7 +7,8 @@
 use sedgerun_rehearse::capacity::{self, Outcome};
 use sedgerun_rehearse::fleet::{self, InjectedBug};
 use sedgerun_rehearse::report::{Chart, compare_table, figure, lines, page, spread_table, table};
-use sedgerun_rehearse::scale::discovery;
+use sedgerun_rehearse::scale::arguments::ScaleArguments;
+use sedgerun_rehearse::scale::{self, discovery, host, host_process};
 use sedgerun_rehearse::scenario::Scenario;
 use sedgerun_rehearse::world;
 use sedgerun_rehearse::{experiment, sockets};
@@ -180,9 +181,19 @@
         #[arg(long, value_delimiter = ',', default_value = "10,40")]
         heads: Vec<usize>,
     },
+    /// Measure what heads cost at growing sizes: hollow heads beside real ones, on loopback; exit status 1 where
+    /// something was not measured
+    Scale(ScaleArguments),
     /// Run one head, as `sedgerun serve` does: what heads on sockets are processes of
     #[command(hide = true)]
-    Serve,
+    Serve {
+        /// End at once when standard input ends: no head outlives whoever started it
+        #[arg(long)]
+        end_with_input: bool,
+    },
+    /// Run many hollow heads, told what to do on standard input
+    #[command(hide = true, name = host_process::SUBCOMMAND)]
+    ScaleHost,
     /// Run the stand-in for discovery, told what to do on standard input: a process of scale runs
     #[command(hide = true)]
     ScaleDiscovery,
@@ -198,7 +209,10 @@
 
 fn main() -> ExitCode {
     let command = Cli::parse().command;
-    if matches!(command, Command::Serve) {
+    if let Command::Serve { end_with_input } = command {
+        if end_with_input {
+            end_with_input_from_now_on();
+        }
         let missing = || Faults::one("LB_CONFIG", "LB_CONFIG is missing", None);
         let config = std::env::var("LB_CONFIG").map_err(|_| missing());
         let operator = std::env::var("LB_OPERATOR").ok();
@@ -215,6 +229,15 @@
     }
 }
 
+/// Ends the process when its standard input does.
+fn end_with_input_from_now_on() {
+    std::thread::spawn(|| {
+        // Whatever ends it, there is nobody left to serve for.
+        let _ = std::io::copy(&mut std::io::stdin().lock(), &mut std::io::sink());
+        std::process::exit(0);
+    });
+}
+
 fn plain(what: impl ToString) -> Faults {
     Faults::one("", what.to_string(), None)
 }
@@ -299,8 +322,13 @@
             Ok(true)
         }
         // Dealt with before all else.
-        Command::Serve => Ok(true),
+        Command::Serve { .. } => Ok(true),
         Command::Capacity(args) => work_out_capacity(&args),
+        Command::Scale(arguments) => {
+            let program = std::env::current_exe().map_err(plain)?;
+            scale::command(&arguments, &program).map_err(plain)
+        }
+        Command::ScaleHost => host::run().map(|()| true).map_err(plain),
         Command::Report { folder } => {
             println!("{}", page(Path::new(&folder)).map_err(plain)?);
             Ok(true)
