--- a/crates/head/src/back/answer.rs
+++ b/crates/head/src/back/answer.rs
@@ -11,9 +11,10 @@
 use actix_http::h1::{ClientCodec, ClientPayloadCodec, MessageType};
 use actix_http::header;
 use actix_rt::net::{ActixStream, Ready, TcpStream};
+use bytes::buf::Chain;
 use bytes::{Buf, BytesMut};
 use std::cell::Cell;
-use std::fmt::Write;
+use std::fmt::{self, Write};
 use std::io;
 use std::pin::Pin;
 use std::rc::Rc;
@@ -72,7 +73,9 @@
     pub fn grow(&mut self, bytes: u64) -> io::Result<()> {
         let bytes = usize::try_from(bytes).unwrap_or(usize::MAX);
         if bytes > self.room.most_body - self.bytes {
-            return Err(spoilt("a body over the limit"));
+            let size = (self.bytes as u64).saturating_add(bytes as u64);
+            let too_large = BodyTooLarge { size, most: self.room.most_body };
+            return Err(io::Error::new(io::ErrorKind::InvalidData, too_large));
         }
         let left = self.room.left.get().checked_sub(bytes).ok_or_else(|| spoilt("no room for a body"))?;
         self.room.left.set(left);
@@ -87,6 +90,23 @@
     }
 }
 
+/// A body over the most that one may take up. It comes inside an [`io::Error`] of the kind `InvalidData`.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct BodyTooLarge {
+    /// Its bytes, as far as they were announced or had come.
+    pub size: u64,
+    /// The most that a body may take up, in bytes.
+    pub most: usize,
+}
+
+impl fmt::Display for BodyTooLarge {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(formatter, "a body of {} bytes or more, over the limit of {}", self.size, self.most)
+    }
+}
+
+impl std::error::Error for BodyTooLarge {}
+
 /// Reads one answer from the bytes of a connection.
 #[derive(Debug)]
 struct Reader {
@@ -101,8 +121,8 @@
     Body(ClientPayloadCodec, BytesMut),
 }
 
-impl std::fmt::Debug for Stage {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+impl fmt::Debug for Stage {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(if matches!(self, Stage::Head(_)) { "Head" } else { "Body" })
     }
 }
@@ -153,7 +173,8 @@
                     }
                     let codec = std::mem::take(codec).into_payload_codec();
                     self.head = Some(head);
-                    self.stage = Stage::Body(codec, BytesMut::new());
+                    // A body of a known length, which has been taken off the room, never has to grow.
+                    self.stage = Stage::Body(codec, BytesMut::with_capacity(self.taken.bytes));
                 }
                 Stage::Body(codec, body) => {
                     match codec.decode(inbox).map_err(|_| spoilt("a body that cannot be read"))? {
@@ -183,8 +204,8 @@
     /// The answer that is awaited, if one is.
     reader: Option<Reader>,
     inbox: BytesMut,
-    /// What is left to hand on of an answer.
-    ready: BytesMut,
+    /// What is left to hand on of an answer: its head and its body.
+    ready: Chain<BytesMut, BytesMut>,
     /// Where its payload is counted, if anywhere.
     traffic: Option<Arc<Traffic>>,
     /// Its descriptor.
@@ -194,8 +215,8 @@
 impl Whole {
     /// Reads answers with bodies that there is room for; its payload is counted where `traffic` is given.
     pub fn new(stream: TcpStream, room: Room, held: Held, traffic: Option<Arc<Traffic>>) -> Whole {
-        let (inbox, ready) = Default::default();
-        Whole { stream, room, reader: None, inbox, ready, traffic, _held: held }
+        let ready = BytesMut::new().chain(BytesMut::new());
+        Whole { stream, room, reader: None, inbox: BytesMut::new(), ready, traffic, _held: held }
     }
 
     /// Reads what is there; 0 at the connection's end.
@@ -217,7 +238,7 @@
 
     /// Frames an answer anew. One with anything behind it closes its connection: what is there is no
     /// beginning of the next.
-    fn frame(&mut self, head: &ResponseHead, body: &[u8], last: bool) {
+    fn frame(&mut self, head: &ResponseHead, body: BytesMut, last: bool) {
         let mut text = format!("HTTP/1.1 {}\r\n", head.status.as_u16());
         for name in READ_HEADERS {
             let mut values = head.headers.get_all(name);
@@ -229,18 +250,17 @@
         }
         let close = if last { "Connection: close\r\n" } else { "" };
         let _ = write!(text, "{close}Content-Length: {}\r\n\r\n", body.len());
-        self.ready.extend_from_slice(text.as_bytes());
-        self.ready.extend_from_slice(body);
+        self.ready = BytesMut::from(text.as_bytes()).chain(body);
     }
 }
 
 impl AsyncRead for Whole {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         let this = self.get_mut();
-        while let (true, Some(reader)) = (this.ready.is_empty(), &mut this.reader) {
+        while let (false, Some(reader)) = (this.ready.has_remaining(), &mut this.reader) {
             if let Some((head, body)) = reader.take(&mut this.inbox)? {
                 let more = !this.inbox.is_empty() || this.fill(cx).is_ready();
-                this.frame(&head, &body, more || !head.keep_alive());
+                this.frame(&head, body, more || !head.keep_alive());
                 this.reader = None;
                 if let Some(traffic) = &this.traffic {
                     traffic.add_message_received();
@@ -253,15 +273,17 @@
                 Poll::Ready(result) => result?,
             };
         }
-        if this.ready.is_empty() {
+        if !this.ready.has_remaining() {
             // Nobody asked: whatever comes is passed on as it is, and tells awc to drop the connection.
             return Pin::new(&mut this.stream).poll_read(cx, buf);
         }
-        let part = this.ready.len().min(buf.remaining());
-        buf.put_slice(&this.ready[..part]);
-        this.ready.advance(part);
-        if this.ready.is_empty() {
-            this.ready = BytesMut::new();
+        while this.ready.has_remaining() && buf.remaining() > 0 {
+            let part = this.ready.chunk().len().min(buf.remaining());
+            buf.put_slice(&this.ready.chunk()[..part]);
+            this.ready.advance(part);
+        }
+        if !this.ready.has_remaining() {
+            this.ready = BytesMut::new().chain(BytesMut::new());
             this.inbox = BytesMut::new();
         }
         Poll::Ready(Ok(()))
--- a/crates/head/src/back/http.rs
+++ b/crates/head/src/back/http.rs
@@ -161,10 +161,8 @@
         let not_started = response.headers().get("Not-Started").is_some_and(|value| value == "1");
         let used = figure(response.headers(), "X-Iops-Used").map(|percent| percent / 100.0);
         let elsewhere = figure(response.headers(), "X-Rho").unwrap_or(0.0);
-        let length =
-            response.headers().get(CONTENT_LENGTH).and_then(|length| length.to_str().ok()?.parse().ok());
-        let length: usize = length.unwrap_or(0);
-        let mut body = BytesMut::new();
+        let length = content_length(response.headers());
+        let mut body = BytesMut::with_capacity(length);
         while body.len() < length {
             match response.next().await {
                 Some(Ok(chunk)) => body.extend_from_slice(&chunk),
@@ -189,6 +187,12 @@
     }
 }
 
+/// The length of an answer's body in bytes, which [`Whole`] has framed: all of it is there.
+pub fn content_length(headers: &HeaderMap) -> usize {
+    let length = headers.get(CONTENT_LENGTH).and_then(|length| length.to_str().ok()?.parse().ok());
+    length.unwrap_or(0)
+}
+
 /// A figure that a node tells beside its answer. One that cannot be read, or that no volume can reach, is
 /// passed over; the answer counts without it.
 fn figure(headers: &HeaderMap, name: &str) -> Option<f64> {
--- a/crates/head/src/back/mod.rs
+++ b/crates/head/src/back/mod.rs
@@ -62,32 +62,44 @@
 /// The names that deployments give their nodes, as the numbers that the decisions use.
 #[derive(Debug, Default)]
 pub struct Names {
-    known: RefCell<HashMap<String, NodeId>>,
+    numbers: RefCell<HashMap<Rc<str>, NodeId>>,
+    names: RefCell<BTreeMap<NodeId, Rc<str>>>,
     last: Cell<u64>,
 }
 
 impl Names {
     /// The number of a name; the same name has the same one until it is forgotten.
     pub fn node(&self, name: &str) -> NodeId {
-        *self.known.borrow_mut().entry(name.to_owned()).or_insert_with(|| {
-            self.last.set(self.last.get() + 1);
-            NodeId(self.last.get())
-        })
+        if let Some(node) = self.find(name) {
+            return node;
+        }
+        self.last.set(self.last.get() + 1);
+        let (node, name) = (NodeId(self.last.get()), Rc::<str>::from(name));
+        self.numbers.borrow_mut().insert(Rc::clone(&name), node);
+        self.names.borrow_mut().insert(node, name);
+        node
     }
 
     /// The number of a name that is in use; `None` for a name that nobody has.
     pub fn find(&self, name: &str) -> Option<NodeId> {
-        self.known.borrow().get(name).copied()
+        self.numbers.borrow().get(name).copied()
     }
 
     /// The name of a number.
     pub fn name(&self, node: NodeId) -> Option<String> {
-        self.known.borrow().iter().find(|(_, known)| **known == node).map(|(name, _)| name.clone())
+        self.names.borrow().get(&node).map(|name| name.to_string())
     }
 
     /// All numbers in use.
     pub fn all(&self) -> Vec<NodeId> {
-        self.known.borrow().values().copied().collect()
+        self.names.borrow().keys().copied().collect()
+    }
+
+    /// Forgets a number; its name, should it come back, gets a new one.
+    fn forget(&self, node: NodeId) {
+        if let Some(name) = self.names.borrow_mut().remove(&node) {
+            self.numbers.borrow_mut().remove(&name);
+        }
     }
 }
 
@@ -130,7 +142,7 @@
     /// stand in the operator's file and are never forgotten.
     pub fn forget(&self, node: NodeId) {
         self.place(node, None);
-        self.names.known.borrow_mut().retain(|_, known| *known != node);
+        self.names.forget(node);
     }
 
     /// Makes an attempt; `None` where the node cannot take this kind of job.
--- a/crates/head/src/bounds.rs
+++ b/crates/head/src/bounds.rs
@@ -1,5 +1,14 @@
 //! What the limits on memory and descriptors leave for each part of a head.
 
+use crate::discovery::list::ListBounds;
+
+/// The least bytes of a list that every head holds.
+const LEAST_LIST_BYTES: usize = 1 << 20;
+/// Bytes of a list's text for each MiB of memory: a sixteenth. While it is read, the text stands in memory twice.
+const LIST_BYTES_PER_MIB: usize = 1 << 16;
+/// Bytes of text to an entry, below which the bound on entries is met before the one on bytes.
+const LIST_BYTES_PER_ENTRY: usize = 256;
+
 /// Bounds that follow from the limits on memory and descriptors.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
@@ -18,6 +27,8 @@
     pub answer: usize,
     /// Bytes that bodies of requests over 64 KiB may take up, all together: an eighth of memory.
     pub bodies: usize,
+    /// The largest list of backends.
+    pub list: ListBounds,
     /// The most 9P clients.
     pub ninep_clients: usize,
     /// Operations of one 9P client at once; past it the client's socket is not read.
@@ -32,6 +43,7 @@
         let clients = (sockets / 6).max(4);
         // A client that sends as fast as it can costs up to 128 KiB before it is cut off.
         let most_clients = (sockets * 5 / 8).min(5 * memory_mb).max(sockets / 3);
+        let list_bytes = (memory_mb * LIST_BYTES_PER_MIB).max(LEAST_LIST_BYTES);
         Bounds {
             clients,
             most_clients,
@@ -40,6 +52,7 @@
             answers: memory_mb << 18,
             answer: (memory_mb << 15).clamp(1 << 20, 4 << 20),
             bodies: memory_mb << 17,
+            list: ListBounds { bytes: list_bytes, entries: list_bytes / LIST_BYTES_PER_ENTRY },
             ninep_clients: (sockets / 6).min(memory_mb).max(1),
             ninep_at_once: (memory_mb / 4).clamp(4, 64),
             ninep_fids: (4 * memory_mb).clamp(64, 4096),
--- a/crates/head/src/config.rs
+++ b/crates/head/src/config.rs
@@ -12,9 +12,13 @@
 use sedgerun_settings::pairs::settings;
 use sedgerun_settings::platform::{flatten, locate};
 use sedgerun_settings::{Fault, Faults, Pairs};
-use serde_json::Value;
+use serde::Deserialize;
+use serde::de::{Deserializer, MapAccess, Visitor};
+use serde_json::value::RawValue;
+use serde_json::{Map, Value};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
+use std::fmt;
 use std::net::SocketAddr;
 
 /// The files that the configuration is read from, at the start and again on SIGHUP.
@@ -60,8 +64,8 @@
     pub seed: u64,
     /// Descriptors that the program may hold.
     pub sockets: usize,
-    /// The list as it was last had, in discovery's form.
-    pub known: Option<Value>,
+    /// The list as it was last had: JSON in discovery's form, read by [`read_list`](crate::discovery::list::read_list).
+    pub known: Option<Box<RawValue>>,
     /// The settings of the decisions.
     pub settings: Settings,
     /// Names of the classes, in order.
@@ -87,9 +91,12 @@
 impl Config {
     /// Reads the platform's JSON: what can be used of it, and what is wrong with it.
     fn read(text: &str) -> (Config, Faults) {
-        let (json, malformed) = match serde_json::from_str(text) {
-            Ok(json) => (json, None),
-            Err(error) => (Value::Null, Some(Faults::one("", format!("malformed JSON: {error}"), None))),
+        let (Document { json, known }, malformed) = match serde_json::from_str(text) {
+            Ok(document) => (document, None),
+            Err(error) => {
+                let fault = Faults::one("", format!("malformed JSON: {error}"), None);
+                (Document::default(), Some(fault))
+            }
         };
         let reader = Reader { text, json: &json, faults: RefCell::default() };
         let seed = reader.string("seed");
@@ -123,7 +130,7 @@
             mgmt: reader.optional_address("mgmt", std::env::var("LB_MGMT").ok()),
             seed,
             sockets,
-            known: json.get("known").filter(|known| !known.is_null()).cloned(),
+            known,
             settings,
             classes: reader.names(&map, "classes"),
             plans: reader.names(&map, "plans"),
@@ -179,6 +186,42 @@
     }
 }
 
+/// The platform's JSON, with the list of backends kept apart as text: as a tree, a large one would take several
+/// times its bytes.
+#[derive(Debug, Default)]
+struct Document {
+    json: Value,
+    known: Option<Box<RawValue>>,
+}
+
+impl<'de> Deserialize<'de> for Document {
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Document, D::Error> {
+        deserializer.deserialize_map(DocumentVisitor)
+    }
+}
+
+struct DocumentVisitor;
+
+impl<'de> Visitor<'de> for DocumentVisitor {
+    type Value = Document;
+
+    fn expecting(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str("an object of settings")
+    }
+
+    fn visit_map<A: MapAccess<'de>>(self, mut object: A) -> Result<Document, A::Error> {
+        let (mut json, mut known) = (Map::new(), None);
+        while let Some(key) = object.next_key::<String>()? {
+            if key == "known" {
+                known = object.next_value::<Option<Box<RawValue>>>()?;
+            } else {
+                json.insert(key, object.next_value()?);
+            }
+        }
+        Ok(Document { json: Value::Object(json), known })
+    }
+}
+
 /// Reads the platform's JSON by its keys, and notes what is wrong.
 struct Reader<'a> {
     text: &'a str,
--- a/crates/head/src/discovery.rs
+++ b/crates/head/src/discovery.rs
@@ -1,20 +1,27 @@
 //! The watch on discovery's list: one call after the other, for as long as the program lives. Where lists are
-//! asked for, the decisions say when to watch again, within the time in which a change counts as told; where
-//! they are pushed, an agent on this machine is called.
+//! asked for, the decisions say when to watch again, within the time in which a change counts as delivered; where
+//! they are pushed, an agent on this machine is called. [`list`] reads what comes.
 
+pub mod lenient;
+pub mod list;
+
+use self::list::{Entry, List, ListError, TooLarge, Unit, read_list};
 use crate::back::Backs;
-use crate::back::answer::Room;
-use crate::back::http::{Spans, client};
+use crate::back::answer::{BodyTooLarge, Room};
+use crate::back::http::{Spans, client, content_length};
 use crate::config::Config;
 use crate::hub::Hub;
 use actix_http::error::ParseError;
 use awc::Client;
 use awc::error::SendRequestError;
+use awc::http::StatusCode;
+use bytes::BytesMut;
+use futures_util::{Stream, StreamExt};
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{Rng, SeedableRng};
-use sedgerun_decide::api::{Listed, Micros, NodeId, Readiness, Scope, Settings};
-use serde_json::Value;
-use std::collections::BTreeSet;
+use sedgerun_decide::api::{Listed, NodeId, Readiness, Scope, Settings};
+use serde_json::value::RawValue;
+use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -22,11 +29,11 @@
 use std::time::{Duration, Instant};
 use tokio::sync::watch;
 
-/// A change counts as told 6 s after discovery had it and could be reached, whatever became of the calls. The
-/// answer that tells it has to be read by then, with some turns of the program to spare.
-const TOLD: Duration = Duration::from_millis(5800);
+/// A change counts as delivered 6 s after discovery had it and could be reached, whatever became of the calls. The
+/// answer that brings it has to be read by then, with some turns of the program to spare.
+const DELIVERED: Duration = Duration::from_millis(5800);
 /// The longest that a watch waits for news. One that fell silent as it began is given up, and the next call
-/// answered, within [`TOLD`].
+/// answered, within [`DELIVERED`].
 const WAIT: Duration = Duration::from_millis(3500);
 /// The part of it that a watch waits at the least. Guards against a stampede: all heads' watches are answered at
 /// once by a change, and would end, or be given up, at once ever after.
@@ -36,7 +43,7 @@
 /// The part of the time left for the next call after which it is made at the least, where the decisions would
 /// wait for longer: spread over the heads, as those would.
 const LEAST_LEFT: f64 = 0.7;
-/// What a new discovery tells counts this long after the program was sent to it.
+/// What a new discovery has counts as delivered this long after the program was sent to it.
 const MOVE: Duration = Duration::from_secs(4);
 /// Wait between calls to a new discovery that does not answer yet.
 const MOVE_WAIT: Duration = Duration::from_millis(200);
@@ -44,8 +51,13 @@
 const LEAST_PUSHED: Duration = Duration::from_millis(100);
 /// Rest after an agent that refuses, or that answers at once with nothing newer: guards against a busy loop.
 const REST: Duration = Duration::from_millis(50);
-/// The largest list that is read.
-const MOST_LIST: usize = 1 << 20;
+/// How many lists in a row may be too large before calls come at growing intervals. Until then a fault that passes
+/// costs no more time than that of any other call.
+const TOO_LARGE_AT_PACE: u32 = 2;
+/// The most doublings of the interval between calls that bring lists too large: bounds the exponent alone.
+const MOST_DOUBLINGS: u32 = 16;
+/// The longest interval between calls that bring lists too large.
+const TOO_LARGE_REST: Duration = Duration::from_secs(30);
 
 /// How calls are paced: it follows from whether lists are asked for or pushed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -64,7 +76,7 @@
             return Pace { asked: true, wait: WAIT, lost: LOST };
         }
         // Guards against a drain that the agent has while this head waits on a call that a silent agent will
-        // never answer: what the agent has counts as told. Wait and loss together stay within three quarters
+        // never answer: what the agent has counts as delivered. Wait and loss together stay within three quarters
         // of the grace, and a call to the agent costs nobody anything.
         let grace = Duration::from_micros(settings.rules.drain_grace);
         let (wait, lost) = ((grace / 2).max(LEAST_PUSHED), (grace / 4).max(LEAST_PUSHED));
@@ -72,52 +84,6 @@
     }
 }
 
-/// A list as discovery gives it.
-#[derive(Debug, PartialEq)]
-pub struct List {
-    /// Its version.
-    pub generation: u64,
-    /// The whole list, not only changes.
-    pub whole: bool,
-    /// The entries, with the addresses of those that run.
-    pub nodes: Vec<(Listed, Option<SocketAddr>)>,
-}
-
-/// Reads a list; an error names what is wrong with it.
-pub fn read_list(json: &Value, zones: &[String], number: impl Fn(&str) -> NodeId) -> Result<List, String> {
-    let generation = json.get("generation").and_then(Value::as_u64).ok_or("generation is not a number")?;
-    let whole = json.get("reset").and_then(Value::as_bool).ok_or("reset is neither true nor false")?;
-    let entries = json.get("instances").and_then(Value::as_array).ok_or("instances is not a list")?;
-    let mut nodes = Vec::with_capacity(entries.len());
-    for (i, entry) in entries.iter().enumerate() {
-        let bad = |name: &str| format!("instances.{i}.{name} is missing or malformed");
-        let text = |name: &str| entry.get(name).and_then(Value::as_str);
-        let id = text("instanceId").filter(|id| !id.is_empty()).ok_or_else(|| bad("instanceId"))?;
-        let readiness = match text("lifecycle") {
-            Some("ready") => Readiness::Ready,
-            Some("draining") => Readiness::Draining,
-            Some("gone") => Readiness::Gone,
-            _ => return Err(bad("lifecycle")),
-        };
-        let address = text("hostPort").and_then(|address| address.parse().ok());
-        if address.is_none() && readiness != Readiness::Gone {
-            return Err(bad("hostPort"));
-        }
-        let cell = entry.get("cell").and_then(Value::as_u64).and_then(|cell| u32::try_from(cell).ok());
-        let cell = match (cell, readiness) {
-            (Some(cell), _) => cell,
-            (None, Readiness::Gone) => 0,
-            (None, _) => return Err(bad("cell")),
-        };
-        let zone = text("zone").and_then(|zone| zones.iter().position(|known| known == zone)).unwrap_or(0);
-        let came_up = entry.get("startedAtMs").and_then(Value::as_u64).unwrap_or(0).saturating_mul(1000);
-        let node = number(id);
-        nodes
-            .push((Listed { node, cell, zone: zone as u16, came_up: came_up as Micros, readiness }, address));
-    }
-    Ok(List { generation, whole, nodes })
-}
-
 /// How a call failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Failure {
@@ -125,18 +91,39 @@
     Refused(String),
     /// Nothing, or not the whole answer, came in time.
     Silent,
-    /// An answer came that cannot be read, or is too large.
+    /// An answer came that cannot be read.
     Malformed(String),
+    /// An answer came that cannot be held.
+    TooLarge(TooLarge),
 }
 
-/// What an error of a call says: an answer that the connection gives as spoilt has come.
-fn failure(error: &SendRequestError) -> Failure {
-    match error {
-        SendRequestError::Response(ParseError::Io(what)) if what.kind() != ErrorKind::InvalidData => {
-            Failure::Refused(error.to_string())
+impl From<SendRequestError> for Failure {
+    /// What an error of a call says: an answer that the connection gives as corrupt has come.
+    fn from(error: SendRequestError) -> Failure {
+        let SendRequestError::Response(cause) = &error else {
+            return Failure::Refused(error.to_string());
+        };
+        match cause {
+            ParseError::Io(cause) if cause.kind() != ErrorKind::InvalidData => {
+                Failure::Refused(error.to_string())
+            }
+            ParseError::Io(cause) => match cause.get_ref().and_then(|cause| cause.downcast_ref()) {
+                Some(BodyTooLarge { size, most }) => {
+                    Failure::TooLarge(TooLarge { size: *size, bound: *most, unit: Unit::Bytes })
+                }
+                None => Failure::Malformed(error.to_string()),
+            },
+            _ => Failure::Malformed(error.to_string()),
+        }
+    }
+}
+
+impl From<ListError> for Failure {
+    fn from(error: ListError) -> Failure {
+        match error {
+            ListError::TooLarge(too_large) => Failure::TooLarge(too_large),
+            error => Failure::Malformed(error.to_string()),
         }
-        SendRequestError::Response(_) => Failure::Malformed(error.to_string()),
-        error => Failure::Refused(error.to_string()),
     }
 }
 
@@ -146,18 +133,29 @@
             Failure::Refused(what) => write!(f, "call failed: {what}"),
             Failure::Silent => f.write_str("no answer in time"),
             Failure::Malformed(what) => write!(f, "malformed list: {what}"),
+            Failure::TooLarge(too_large) => too_large.fmt(f),
         }
     }
 }
 
-fn fresh_client(hub: &Hub) -> Client {
-    client(
-        Spans { dial: Duration::from_secs(1), idle: Duration::from_secs(60) },
-        &Room::new(MOST_LIST, MOST_LIST),
-        hub.backs().descriptors(),
-        0,
-        Some(hub.figures.discovery.clone()),
-    )
+/// A client whose answers are lists of at most so many bytes.
+fn fresh_client(hub: &Hub, most_bytes: usize) -> Client {
+    let spans = Spans { dial: Duration::from_secs(1), idle: Duration::from_secs(60) };
+    let room = Room::new(most_bytes, most_bytes);
+    client(spans, &room, hub.backs().descriptors(), 0, Some(hub.figures.discovery.clone()))
+}
+
+/// Collects a body, whose length the connection has checked against the bound.
+async fn collect<E: fmt::Display>(
+    mut chunks: impl Stream<Item = Result<bytes::Bytes, E>> + Unpin,
+    length: usize,
+) -> Result<BytesMut, Failure> {
+    let mut body = BytesMut::with_capacity(length);
+    while let Some(chunk) = chunks.next().await {
+        let chunk = chunk.map_err(|error| Failure::Malformed(format!("answer broke off: {error}")))?;
+        body.extend_from_slice(&chunk);
+    }
+    Ok(body)
 }
 
 /// Watches discovery for one program.
@@ -173,22 +171,37 @@
     silent: bool,
     /// When it was sent to this address, until something has come from there.
     moved: Option<Instant>,
+    /// Lists that were too large since the last one that was not.
+    too_large: u32,
     generation: Option<u64>,
-    /// The operator's boxes that discovery has ever told of: it alone knows what has become of those.
-    told: BTreeSet<NodeId>,
-    /// The nodes on its list.
+    /// The backends of the operator's file, and their shards.
+    own: BTreeMap<NodeId, u32>,
+    /// Those of them that discovery has ever listed: it alone knows what has become of those.
+    own_listed: BTreeSet<NodeId>,
+    /// The backends on its list.
     listed: BTreeSet<NodeId>,
 }
 
 impl Discovery {
-    /// A watch that tells this hub.
+    /// A watch that delivers lists to this hub.
     pub fn new(hub: Rc<Hub>, config: Rc<Config>) -> Discovery {
-        let (address, pace) = (config.discovery, Pace::new(&config.settings));
-        let (client, generation) = (fresh_client(&hub), None);
-        let (told, listed) = Default::default();
-        let (silent, moved) = (false, None);
-        let random = ChaCha8Rng::seed_from_u64(config.seed);
-        Discovery { hub, config, client, address, pace, random, silent, moved, generation, told, listed }
+        let number = |id: &str| hub.backs().names.node(id);
+        let own = config.operator.boxes.iter().map(|backend| (number(&backend.id), backend.shard)).collect();
+        Discovery {
+            client: fresh_client(&hub, config.bounds.list.bytes),
+            address: config.discovery,
+            pace: Pace::new(&config.settings),
+            random: ChaCha8Rng::seed_from_u64(config.seed),
+            silent: false,
+            moved: None,
+            too_large: 0,
+            generation: None,
+            own,
+            own_listed: BTreeSet::new(),
+            listed: BTreeSet::new(),
+            hub,
+            config,
+        }
     }
 
     /// A part of a time, drawn from `least` to the whole.
@@ -200,20 +213,20 @@
     /// Goes to another discovery: its versions are its own, so that the whole list is asked for. The old list
     /// stands until that one is there. Connections to the old address close.
     fn go(&mut self, address: SocketAddr) {
-        (self.address, self.client) = (address, fresh_client(&self.hub));
+        (self.address, self.client) = (address, fresh_client(&self.hub, self.config.bounds.list.bytes));
         (self.generation, self.moved) = (None, Some(Instant::now()));
+        self.too_large = 0;
     }
 
-    /// Takes the list that the program was started with.
-    pub fn take_known(&mut self) {
-        let known = self.config.known.clone();
-        let list = known.map(|known| read_list(&known, &self.config.zones, |id| self.number(id)));
-        match list {
-            Some(Ok(list)) => return self.tell(Scope::Cached, list),
-            Some(Err(what)) => tracing::warn!("known: {what}"),
+    /// Takes the list that the program was started with: JSON in discovery's form.
+    pub fn take_known(&mut self, known: Option<Box<RawValue>>) {
+        let known = known.map(|known| self.read(known.get().as_bytes()));
+        match known {
+            Some(Ok(list)) => return self.deliver(Scope::Cached, list),
+            Some(Err(failure)) => tracing::warn!("known: {failure}"),
             None => {}
         }
-        self.hub.list(Scope::Cached, self.untold());
+        self.hub.list(Scope::Cached, self.own_unlisted());
     }
 
     /// Watches for as long as the program lives; an asked list when the controller wants it, until a call
@@ -239,18 +252,25 @@
                     if std::mem::take(&mut self.silent) {
                         tracing::info!("discovery: answers again");
                     }
+                    if std::mem::take(&mut self.too_large) > 0 {
+                        tracing::info!(
+                            "discovery: the list can be held again: {} entries",
+                            list.entries.len()
+                        );
+                    }
                     let news = since != Some(list.generation);
                     let scope = if list.whole { Scope::Full } else { Scope::Delta };
-                    self.tell(scope, list);
+                    self.deliver(scope, list);
                     if !self.pace.asked && !news && begun.elapsed() < REST {
                         tokio::time::sleep(REST).await;
                     }
                 }
                 Err(failure) => {
                     let rest = self.failed(&failure, begun);
+                    let heeds_wishes = self.pace.asked && !self.backs_off(&failure);
                     tokio::select! {
                         () = tokio::time::sleep(rest) => {}
-                        () = self.hub.wants_watch(), if self.pace.asked => {}
+                        () = self.hub.wants_watch(), if heeds_wishes => {}
                         Ok(()) = at.changed() => self.go(*at.borrow_and_update()),
                     }
                 }
@@ -259,16 +279,43 @@
     }
 
     /// A call failed that began then: how long from now the next one is made at the latest. An asked list may be
-    /// wanted by the decisions before.
+    /// wanted by the decisions before, except where the head backs off from lists that are too large.
     fn failed(&mut self, failure: &Failure, begun: Instant) -> Duration {
-        if !std::mem::replace(&mut self.silent, !self.pace.asked) {
-            tracing::warn!("discovery: {failure}");
-        }
-        // Guards against asking for the same malformed changes for ever.
-        if matches!(failure, Failure::Malformed(_)) {
+        self.report(failure);
+        // Guards against asking for the same unusable changes for ever.
+        if matches!(failure, Failure::Malformed(_) | Failure::TooLarge(_)) {
             self.generation = None;
         }
-        // Guards against a back-off that outlasts the time in which a new discovery counts as having told.
+        let rest = self.rest(failure, begun);
+        if !self.backs_off(failure) {
+            return rest;
+        }
+        // Guards against fetching a list that cannot be held over and over.
+        let doublings = (self.too_large - TOO_LARGE_AT_PACE).min(MOST_DOUBLINGS);
+        let rest = rest.max(REST).saturating_mul(1 << doublings);
+        if rest < TOO_LARGE_REST { rest } else { self.part(LEAST_LEFT, TOO_LARGE_REST) }
+    }
+
+    /// Logs a failure: a silence of an agent, and a list that is too large, once, the others each time.
+    fn report(&mut self, failure: &Failure) {
+        if let Failure::TooLarge(_) = failure {
+            self.too_large = self.too_large.saturating_add(1);
+            if self.too_large == 1 {
+                tracing::error!("discovery: {failure}; the list in force stands");
+            }
+        } else if !std::mem::replace(&mut self.silent, !self.pace.asked) {
+            tracing::warn!("discovery: {failure}");
+        }
+    }
+
+    /// So many lists in a row were too large, up to this failure, that calls come at growing intervals.
+    fn backs_off(&self, failure: &Failure) -> bool {
+        matches!(failure, Failure::TooLarge(_)) && self.too_large > TOO_LARGE_AT_PACE
+    }
+
+    /// The time to the next call behind a failed one that began then, where that follows from the call alone.
+    fn rest(&mut self, failure: &Failure, begun: Instant) -> Duration {
+        // Guards against a back-off that outlasts the time in which a new discovery counts as having delivered.
         if self.moved.is_some_and(|moved| moved.elapsed() < MOVE) {
             return MOVE_WAIT.saturating_sub(begun.elapsed());
         }
@@ -278,10 +325,10 @@
         self.hub.forget_watch();
         self.hub.list(Scope::Failed, Vec::new());
         // Guards against a drain that discovery has while this head backs off: whatever the decisions say, the
-        // next call is answered by the time at which the drain counts as told. Discovery may have had it, and
+        // next call is answered by the time at which the drain counts as delivered. Discovery may have had it, and
         // could be reached, from the moment in which it last said nothing or no.
         let unheard = if *failure == Failure::Silent { begun.elapsed() } else { Duration::ZERO };
-        self.part(LEAST_LEFT, TOLD.saturating_sub(LOST + unheard))
+        self.part(LEAST_LEFT, DELIVERED.saturating_sub(LOST + unheard))
     }
 
     /// How long the next call waits for news; not at all where the whole list is asked for.
@@ -302,74 +349,95 @@
             None => format!("http://{address}/v1/servers"),
         };
         let exchange = async {
-            let mut response = self.client.get(url).send().await.map_err(|error| failure(&error))?;
-            if response.status() != 200 {
+            let mut response = self.client.get(url).send().await?;
+            if response.status() != StatusCode::OK {
                 return Err(Failure::Refused(format!("answered {}", response.status().as_u16())));
             }
-            let body = response.body().limit(MOST_LIST).await;
-            body.map_err(|error| Failure::Malformed(format!("answer broke off: {error}")))
+            let length = content_length(response.headers());
+            collect(&mut response, length).await
         };
         let body =
             tokio::time::timeout(wait + self.pace.lost, exchange).await.map_err(|_| Failure::Silent)??;
-        let json = serde_json::from_slice(&body).map_err(|error| Failure::Malformed(error.to_string()))?;
-        read_list(&json, &self.config.zones, |id| self.number(id)).map_err(Failure::Malformed)
+        self.read(&body)
     }
 
-    fn number(&self, id: &str) -> NodeId {
-        let backs: &Backs = self.hub.backs();
-        backs.names.node(id)
+    /// Reads a list that this head can hold, be it whole or changes to the one that it has.
+    fn read(&self, text: &[u8]) -> Result<List, Failure> {
+        let bounds = self.config.bounds.list;
+        let list = read_list(text, &self.config.zones, bounds)?;
+        let size = self.size_after(&list);
+        if size > bounds.entries {
+            let too_large = TooLarge { size: size as u64, bound: bounds.entries, unit: Unit::Entries };
+            return Err(Failure::TooLarge(too_large));
+        }
+        Ok(list)
+    }
+
+    /// The entries of the list in force once this one is delivered, at the most.
+    fn size_after(&self, list: &List) -> usize {
+        if list.whole {
+            return list.entries.len();
+        }
+        let names = &self.hub.backs().names;
+        let is_new = |entry: &&Entry| names.find(&entry.id).is_none_or(|node| !self.listed.contains(&node));
+        let added = list.entries.iter().filter(|entry| entry.readiness != Readiness::Gone).filter(is_new);
+        self.listed.len() + added.count()
     }
 
-    fn tell(&mut self, scope: Scope, list: List) {
+    /// Delivers a list, or changes of it, to the decisions.
+    fn deliver(&mut self, scope: Scope, list: List) {
         self.generation = Some(list.generation);
-        let hub = Rc::clone(&self.hub);
-        let own = self.own();
         let before = self.listed.len();
         if scope != Scope::Delta {
             self.listed.clear();
         }
-        for (Listed { node, readiness, .. }, address) in &list.nodes {
-            if own.iter().any(|(own, _)| own == node) {
-                self.told.insert(*node);
-            }
-            if *readiness == Readiness::Gone {
-                self.listed.remove(node);
-            } else {
-                self.listed.insert(*node);
-                hub.backs().place(*node, *address);
-            }
-        }
+        let mut nodes: Vec<Listed> = list.entries.into_iter().map(|entry| self.place(entry)).collect();
         // Guards against a list that lost most entries by mistake: it is heeded, and the whole list asked for
         // once more, at once.
         if scope == Scope::Full && 2 * self.listed.len() < before {
             self.generation = None;
         }
-        let mut nodes: Vec<Listed> = list.nodes.into_iter().map(|(listed, _)| listed).collect();
         if scope != Scope::Delta {
-            nodes.extend(self.untold());
+            nodes.extend(self.own_unlisted());
         }
-        hub.list(scope, nodes);
-        // Guards against growing with every box that is ever replaced. One with an attempt out is forgotten
-        // with a later list; those come at least once a wait.
-        for node in hub.backs().names.all() {
-            // A banned brick keeps its number, so that its ban holds when it is listed again.
-            let kept = self.listed.contains(&node) || own.iter().any(|(own, _)| *own == node);
-            let kept = kept || hub.is_banned(node);
-            if !kept && !hub.in_flight(node) {
-                hub.backs().forget(node);
-            }
+        self.hub.list(scope, nodes);
+        self.forget_unlisted();
+    }
+
+    /// Notes where a backend is; its entry as the decisions are to have it.
+    fn place(&mut self, entry: Entry) -> Listed {
+        let backs: &Backs = self.hub.backs();
+        let Entry { id, readiness, address, cell, zone, came_up } = entry;
+        let node = backs.names.node(&id);
+        if self.own.contains_key(&node) {
+            self.own_listed.insert(node);
+        }
+        if readiness == Readiness::Gone {
+            self.listed.remove(&node);
+        } else {
+            self.listed.insert(node);
+            backs.place(node, address);
         }
+        Listed { node, cell, zone, came_up, readiness }
     }
 
-    /// The boxes of the operator's file, and their shards.
-    fn own(&self) -> Vec<(NodeId, u32)> {
-        self.config.operator.boxes.iter().map(|node| (self.number(&node.id), node.shard)).collect()
+    /// Forgets the backends that are no longer listed. Guards against growing with every backend that is ever
+    /// replaced. One with an attempt out is forgotten with a later list; those come at least once a wait.
+    fn forget_unlisted(&self) {
+        let (hub, backs): (&Hub, &Backs) = (&self.hub, self.hub.backs());
+        for node in backs.names.all() {
+            // A banned backend keeps its number, so that its ban holds when it is listed again.
+            let kept = self.listed.contains(&node) || self.own.contains_key(&node) || hub.is_banned(node);
+            if !kept && !hub.in_flight(node) {
+                backs.forget(node);
+            }
+        }
     }
 
-    /// The boxes of the operator's file that discovery has never told of: they count as ready.
-    fn untold(&self) -> Vec<Listed> {
-        let untold = self.own().into_iter().filter(|(node, _)| !self.told.contains(node));
+    /// The backends of the operator's file that discovery has never listed: they count as ready.
+    fn own_unlisted(&self) -> Vec<Listed> {
+        let unlisted = self.own.iter().filter(|(node, _)| !self.own_listed.contains(node));
         let ready = Readiness::Ready;
-        untold.map(|(node, cell)| Listed { node, cell, zone: 0, came_up: 0, readiness: ready }).collect()
+        unlisted.map(|(&node, &cell)| Listed { node, cell, zone: 0, came_up: 0, readiness: ready }).collect()
     }
 }
--- a/crates/head/src/head.rs
+++ b/crates/head/src/head.rs
@@ -18,6 +18,7 @@
 use crate::vrrp::Carrier;
 use sedgerun_decide::api::Micros;
 use sedgerun_vrrp::State;
+use serde_json::value::RawValue;
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -109,6 +110,8 @@
     config: Rc<Config>,
     sources: Sources,
     hub: Rc<Hub>,
+    /// The list that the configuration holds, until it is read at the start.
+    known: Option<Box<RawValue>>,
     front: Rc<HttpFront>,
     ninep: Rc<NinepFront>,
     tenants: Rc<RefCell<Registry>>,
@@ -182,7 +185,8 @@
 
 impl Head {
     /// A head that has not begun to serve.
-    pub fn new(config: Config, sources: Sources, fleet: Option<Fleet>) -> Head {
+    pub fn new(mut config: Config, sources: Sources, fleet: Option<Fleet>) -> Head {
+        let known = config.known.take();
         let config = Rc::new(config);
         let hub = new_hub(&config);
         let front = HttpFront::new(Rc::clone(&hub), Rc::clone(&config));
@@ -191,7 +195,21 @@
         let (phase, vrrp, accepting) = (Phase::Starting, None, Vec::new());
         let (inherited, fleet) = (false, fleet.map(Rc::new));
         let mgmt = Mgmt::new(Rc::clone(&hub), Rc::clone(&front), Rc::clone(&config), fleet.clone());
-        Head { phase, config, sources, hub, front, ninep, tenants, vrrp, accepting, mgmt, fleet, inherited }
+        Head {
+            phase,
+            config,
+            sources,
+            hub,
+            known,
+            front,
+            ninep,
+            tenants,
+            vrrp,
+            accepting,
+            mgmt,
+            fleet,
+            inherited,
+        }
     }
 
     /// Runs from start to exit.
@@ -233,7 +251,7 @@
             actix_rt::spawn(Rc::clone(fleet).follow(config, tenants, Rc::clone(&self.hub)));
         }
         let mut discovery = Discovery::new(Rc::clone(&self.hub), Rc::clone(&self.config));
-        discovery.take_known();
+        discovery.take_known(self.known.take());
         actix_rt::spawn(discovery.run(at));
         let serve = Rc::clone(&self.front).serve(http);
         let serving = actix_rt::spawn(async move {
--- a/crates/head/tests/discovery.rs
+++ b/crates/head/tests/discovery.rs
@@ -170,7 +170,8 @@
     let program = head(&discovery, heads);
     let begun = Instant::now();
     loop {
-        assert!(program.ask(&get("a0", 1000)).0.starts_with("HTTP/1.1 200"), "the head serves on");
+        let answer = program.ask(&get("a0", 1000)).0;
+        assert!(answer.starts_with("HTTP/1.1 200"), "the head serves on: {answer}");
         thread::sleep(Duration::from_millis(5));
         if discovery.drained().is_some_and(|at| at.elapsed() > TOLD + GRACE) {
             break;
@@ -231,9 +232,7 @@
         let (program, discovery) = obeys(trouble, 2, 300);
         let calls = discovery.service.lock().expect("a service").calls;
         assert!(calls.1 >= 1, "{trouble:?}: {calls:?}");
-        let memory = std::fs::read_to_string(format!("/proc/{}/status", program.id())).expect("its status");
-        let held = memory.lines().find_map(|line| line.strip_prefix("VmHWM:")).expect("a figure");
-        let held: u64 = held.trim().trim_end_matches(" kB").parse().expect("a number");
+        let held = program.peak_memory_kib();
         assert!(held < 64 << 10, "{trouble:?}: {held} kB");
     }
 }
--- a/crates/head/tests/standin/mod.rs
+++ b/crates/head/tests/standin/mod.rs
@@ -593,6 +593,14 @@
         self.child.id()
     }
 
+    /// The most memory that it has had resident, in KiB.
+    pub fn peak_memory_kib(&self) -> u64 {
+        let status =
+            std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).expect("its status");
+        let peak = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).expect("a figure");
+        peak.trim().trim_end_matches(" kB").parse().expect("a number")
+    }
+
     /// Descriptors that it holds.
     pub fn descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).expect("its descriptors").count()
