--- a/crates/decide/src/control.rs
+++ b/crates/decide/src/control.rs
@@ -1,7 +1,7 @@
 //! Every decision of sedgerun; its interface, the plain types that go in and come out, is `api.rs`.
 //!
 //! From top to bottom: tuned constants, the estimator and the loop (Triage's self-tuning regulator), the
-//! band split, the limit store, node health and the cold guard, and the life of a request. One
+//! band split, the limit store, node health and slow start, and the life of a request. One
 //! [`Controller`] decides for one dispatcher. It knows its settings, its seed and its own events only.
 
 use crate::api::*;
@@ -64,7 +64,9 @@
 const ASK_PART: Micros = 25_000;
 /// The longest wait (us): news counts as told 6 s after the list's service has it, its answer read by then.
 const ASK_TOP: f64 = 4.5e6;
-/// Part of its even part that one of many dispatchers adds to its thinned demand: all come to N then.
+/// Dispatchers up to which each has its even part of what a backend in slow start bears, whoever asks for it.
+const FEW_DISPATCHERS: u32 = 8;
+/// Part of its even part that one of more dispatchers adds to its thinned demand: all come to N then.
 const EVEN_PART: f64 = 0.3;
 /// Nodes drawn for a new object to choose from: a few keep stale news from sending all to one node, and
 /// the cost flat in fleet size.
@@ -167,8 +169,8 @@
         self.age += 1;
         if moved && self.age > MODEL_PERIODS {
             // Reset law: drop the model and excite the node with the ceiling. Departure: a node over its
-            // target (slow, cold or crowded) gets what it has just served instead, so that the reset does
-            // not bury it. It acts only while the mean latency is over the target.
+            // target (slow, in slow start or crowded) gets what it has just served instead, so that the reset
+            // does not bury it. It acts only while the mean latency is over the target.
             self.model = Estimator::default();
             self.age = 0;
             self.rate = if p.latency > 1.0 { p.served.min(p.ceiling) } else { p.ceiling };
@@ -269,7 +271,7 @@
     }
 }
 
-// ---- Node health and cold guard ----------------------------------------------------------------------
+// ---- Node health and slow start ---------------------------------------------------------------------
 
 #[derive(Clone, Debug, Default)]
 struct Node {
@@ -292,7 +294,7 @@
     offered: f64,
     sent: f64,
     aim: Micros,
-    cold: Bucket,
+    slow_start: Bucket,
     heard: Micros,
     told: Micros,
     trial_at: Micros,
@@ -352,12 +354,13 @@
         self.missed >= DOWN_MISSES
     }
 
-    /// Units that this dispatcher may send now without pushing a cold node over. A bucket fills with its even
-    /// part of what the node bears in any case; in a large fleet, where few ask at any one node, with less of
-    /// it, and with what it is usually asked for here, thinned by half of what tips a node as cold as one can
-    /// be. Both grow as a node warms. A part smaller than a request is saved up until it is full; the debt
-    /// after it keeps the rate, and the random first fill keeps the dispatchers from using theirs at once.
-    fn cold_room(&mut self, settings: &Settings, now: Micros) -> f64 {
+    /// Units that this dispatcher may send now without overloading a backend in slow start. A bucket fills
+    /// with its part of what the backend bears, which grows as it warms. Few dispatchers share that evenly,
+    /// with what the rule puts down to chance less what each may have saved, so that the bound holds however
+    /// they ask. In a large fleet, where few ask at any one backend, each has less of its even part, and what
+    /// it is usually asked for here, thinned by half of the tipping point. A part smaller than a request is
+    /// saved up; the debt after it keeps the rate, the random first fill keeps all from sending at once.
+    fn slow_start_room(&mut self, settings: &Settings, now: Micros) -> f64 {
         let rules = &settings.rules;
         let age = now.saturating_sub(self.came_up);
         if self.came_up == 0 || age >= rules.warm_within || rules.fall == 0 || rules.tip_multiple <= 0.0 {
@@ -365,15 +368,22 @@
         }
         let begin = rules.start_capacity.clamp(0.01, 1.0);
         let warm = 1.0 + (1.0 / begin - 1.0) * age as f64 / rules.warm_within as f64;
-        let units = rules.cold_units.max(settings.mean_units) * warm;
+        let mean = settings.mean_units.max(1e-3);
+        let borne = rules.cold_units.max(mean) * warm;
+        let dispatchers = f64::from(settings.dispatchers.max(1));
+        let even = borne / dispatchers;
         let second = SECOND as f64 / rules.fall as f64;
-        let even = units / f64::from(settings.dispatchers.max(1)) * second;
-        let own = rules.tip_multiple / 2.0 * begin * warm * self.usual;
-        let few = u64::from(settings.dispatchers) <= LOOKERS;
-        let part = if self.usual > 0.0 { EVEN_PART } else { 1.0 };
-        let (rate, saved) = if few { (own.max(1.25 * even), 5.0) } else { (own + part * even, 10.0) };
-        let cap = rate / second / saved;
-        let room = self.cold.fill(now, rate, cap);
+        let (part, cap) = if settings.dispatchers <= FEW_DISPATCHERS {
+            // Half of the two roots and two calls that the rule puts down to chance.
+            let chance = mean * ((borne / mean).sqrt() + 1.0) / dispatchers;
+            let saved = chance.max(mean);
+            (even + (2.0 * chance - saved).max(0.0), saved)
+        } else {
+            let thinned = rules.tip_multiple / 2.0 * begin * warm * self.usual / second;
+            let part = if self.usual > 0.0 { thinned + EVEN_PART * even } else { even };
+            (part, part / 10.0)
+        };
+        let room = self.slow_start.fill(now, part * second, cap);
         if room >= cap { f64::INFINITY } else { room }
     }
 }
@@ -530,10 +540,10 @@
                 let old = std::mem::replace(node, Node::new(aim, now));
                 (node.out, node.held, node.asks) = (old.out, old.held, old.asks);
             }
-            if restarted || scope == Scope::Cached || node.cold.at == 0 {
+            if restarted || scope == Scope::Cached || node.slow_start.at == 0 {
                 let part = self.settings.rules.cold_units / f64::from(self.settings.dispatchers.max(1));
                 let tokens = -chance.fract() * part.max(self.settings.mean_units);
-                (node.cold, chance) = (Bucket { tokens, at: now }, chance + 0.618);
+                (node.slow_start, chance) = (Bucket { tokens, at: now }, chance + 0.618);
             }
             (node.cell, node.readiness) = (entry.cell, entry.readiness);
             node.came_up = node.came_up.max(entry.came_up);
@@ -551,19 +561,15 @@
         self.look(now, actions);
     }
 
-    fn take(&mut self, now: Micros, request: Request, actions: &mut Vec<Action>) {
-        let Some(class) = self.settings.classes.get(request.class) else {
-            actions.push(Action::Refuse { id: request.id, retry_after: 0 });
+    fn take(&mut self, now: Micros, mut ask: Request, actions: &mut Vec<Action>) {
+        let Request { id, volume, .. } = ask;
+        let Some(class) = self.settings.classes.get(ask.class) else {
+            actions.push(Action::Refuse { id, retry_after: 0 });
             return;
         };
-        let Request { id, volume, .. } = request;
-        let mut ask = request;
-        if !ask.units.is_finite() {
-            ask.units = self.settings.mean_units;
-        }
-        ask.units = ask.units.max(0.0);
-        ask.hosts = ask.hosts.max(1.0).min(f64::from(self.settings.dispatchers.max(1)));
-        let (units, hosts) = (ask.units, ask.hosts);
+        let units = if ask.units.is_finite() { ask.units.max(0.0) } else { self.settings.mean_units };
+        let hosts = ask.hosts.max(1.0).min(f64::from(self.settings.dispatchers.max(1)));
+        (ask.units, ask.hosts) = (units, hosts);
         // A client's next try comes with less time than a first one; its aim ran from the first.
         let left = ask.deadline.saturating_sub(now);
         let patience = &mut self.patience[ask.class];
@@ -601,7 +607,7 @@
         }
         let bound_to = held.ran.filter(|_| self.settings.classes[held.ask.class].repeat == Repeat::Guarded);
         let cell = bound_to.map(|(cell, _)| cell).or(held.ask.cell);
-        // While a node is being replaced two may hold the cell; a cold one takes what it has room for.
+        // While a node is replaced two may hold the cell; one in slow start takes what it has room for.
         let drawn: Vec<NodeId> = match cell {
             Some(cell) => self.cells.get(&cell).cloned().unwrap_or_default(),
             None => {
@@ -612,11 +618,11 @@
         let held = &self.requests[&id];
         let ranked = drawn.into_iter().enumerate().filter_map(|(i, name)| {
             let node = self.nodes.get_mut(&name)?;
-            let cold = node.cold_room(&self.settings, now) < held.ask.units;
+            let starting = node.slow_start_room(&self.settings, now) < held.ask.units;
             let crowd = (f64::from(node.out) + node.held.len() as f64) / node.bound;
             let jitter = 1.0 + 0.2 * ((chance * 977.0 + i as f64 * 0.618).fract());
             let cost = node.latency_at(now) * (1.0 + crowd) * jitter;
-            Some((node.down(), cold, cost as Micros, name))
+            Some((node.down(), starting, cost as Micros, name))
         });
         let found = ranked.min().map(|(.., name)| name);
         let Some(held) = self.requests.get_mut(&id) else { return };
@@ -653,7 +659,7 @@
                 return None;
             }
         }
-        let room = node.cold_room(&self.settings, now);
+        let room = node.slow_start_room(&self.settings, now);
         let latency = node.latency_at(now);
         let crowded = latency > node.line() / 2.0;
         let (mut spare, mut late) = (None, None);
@@ -704,36 +710,30 @@
         let (Some(held), Some(node)) = (self.requests.get_mut(&id), self.nodes.get_mut(&name)) else {
             return;
         };
+        let Request { class, volume, key, units, .. } = held.ask;
         node.held.remove(&(held.due, id));
         held.at = None;
-        if let Some(volume) = self.volumes.get_mut(&held.ask.volume) {
+        if let Some(known) = self.volumes.get_mut(&volume) {
             if !std::mem::replace(&mut held.paid, true) {
-                volume.limit.tokens -= held.ask.units;
+                known.limit.tokens -= units;
             }
-            if volume.reserve.tokens > 0.0 {
-                volume.reserve.tokens -= held.ask.units;
+            if known.reserve.tokens > 0.0 {
+                known.reserve.tokens -= units;
             } else {
-                node.asks.entry(held.ask.volume).or_default().share.tokens -= held.ask.units;
+                node.asks.entry(volume).or_default().share.tokens -= units;
             }
         }
         if node.out == 0 {
             node.heard = now;
         }
         node.left = now;
-        node.gate.tokens -= held.ask.units;
-        node.sent += held.ask.units;
+        node.gate.tokens -= units;
+        node.sent += units;
         node.out += 1;
-        node.cold.tokens -= held.ask.units;
-        let class = &self.settings.classes[held.ask.class];
+        node.slow_start.tokens -= units;
+        let class = &self.settings.classes[class];
         node.aim = node.aim.min(class.aim);
-        let attempt = Attempt {
-            node: name,
-            cell: node.cell,
-            sent_at: now,
-            key: held.ask.key,
-            units: held.ask.units,
-            overtaken: 0,
-        };
+        let attempt = Attempt { node: name, cell: node.cell, sent_at: now, key, units, overtaken: 0 };
         self.attempts.insert((id, held.attempts as u8), attempt);
         if held.attempts > 0 {
             self.extras.push_back(now);
@@ -771,7 +771,7 @@
         let debt = if refused { self.draw() * mean } else { 0.0 };
         if let Some(node) = self.nodes.get_mut(&name) {
             if refused {
-                (node.came_up, node.cold) = (now, Bucket { tokens: -debt, at: now });
+                (node.came_up, node.slow_start) = (now, Bucket { tokens: -debt, at: now });
             }
             node.out = node.out.saturating_sub(u32::from(attempt.overtaken < STUCK));
             // Guards against a connection that fell silent: nodes take requests in turn, so what several
@@ -826,7 +826,8 @@
                 if node.missed > 1 && now.saturating_sub(node.heard) > node.aim.max(SECOND) {
                     // It answers again after a silence: perhaps a new process that no list has told of yet.
                     // Guards against tipping it; harms a node that was only cut off, by a slow start.
-                    (node.came_up, node.cold) = (attempt.sent_at, Bucket { tokens: -attempt.units, at: now });
+                    (node.came_up, node.slow_start) =
+                        (attempt.sent_at, Bucket { tokens: -attempt.units, at: now });
                 }
                 (node.missed, node.heard) = (0, now);
                 // A quick error is no quick answer: it counts as the whole aim, so that a node which fails
@@ -983,19 +984,18 @@
             let ceiling = (2.0 * node.offered).max(least).max(limits);
             let target = node.aim as f64;
             let mean = if node.answers > 0 { node.took / f64::from(node.answers) } else { node.latency };
-            let served = node.served;
             node.tuner.step(Period {
                 answers: node.answers,
                 latency: mean / target,
                 sent: node.sent,
-                served,
+                served: node.served,
                 ceiling,
                 quiet: node.sent == 0.0 && node.out == 0,
             });
             node.over = node.answers > 0 && mean > target;
             // Departure: while requests wait here for the bound, the node takes what it takes, and that is
             // what there is to split; the loop's rate is above it then.
-            let rate = if node.held.is_empty() { node.tuner.rate } else { node.tuner.rate.min(served) };
+            let rate = if node.held.is_empty() { node.tuner.rate } else { node.tuner.rate.min(node.served) };
             node.level = share_level(rate - reserved, &asks);
             (node.answers, node.took, node.served, node.offered, node.sent) = (0, 0.0, 0.0, 0.0, 0.0);
         }
--- a/crates/decide/tests/ramp.rs
+++ b/crates/decide/tests/ramp.rs
@@ -175,8 +175,55 @@
     holds(4, 1, 0);
 }
 
+#[test]
+fn two_that_both_ask_send_a_cold_node_no_more_than_it_bears() {
+    holds(2, 2, 0);
+}
+
+#[test]
+fn eight_of_which_one_asks_most_send_a_cold_node_no_more_than_it_bears() {
+    holds(8, 1, 0);
+}
+
+/// A bound that is kept by sending nothing is no use: few dispatchers that all ask for what the node could do
+/// warm get most of what it bears through to it.
+#[test]
+fn few_that_all_ask_keep_a_cold_node_in_work() {
+    for dispatchers in [1, 2, 3, 4, 6, 8] {
+        for cold_units in [13.0, 20.0, 200.0] {
+            let (load, askers) = (0.7, dispatchers);
+            let (_, sent) = ramp(Fleet { dispatchers, askers, cold_units, load, bad: 0, lull: 0, seed: 5 });
+            let most = borne_or_asked(cold_units, load);
+            let part = f64::from(sent) / most;
+            assert!(part > 0.85, "{part:.2} of {most:.0} calls at {dispatchers} of {cold_units} units");
+        }
+    }
+}
+
+/// Calls that a node bears while it warms, or that are asked of it where that is less.
+fn borne_or_asked(cold_units: f64, load: f64) -> f64 {
+    const STEPS: u32 = 1000;
+    let s = settings();
+    let (rules, mean) = (&s.rules, s.mean_units);
+    let can = cold_units / (rules.tip_multiple * rules.start_capacity * rules.fall as f64 / SECOND as f64);
+    let step = rules.warm_within as f64 / SECOND as f64 / f64::from(STEPS);
+    let calls = |i: u32| {
+        let warm = 1.0 + (1.0 / rules.start_capacity - 1.0) * f64::from(i) / f64::from(STEPS);
+        let bears = cold_units * warm / (rules.fall as f64 / SECOND as f64);
+        bears.min(load * can) / mean * step
+    };
+    (0..STEPS).map(calls).sum()
+}
+
 /// All ask again at the same moment, with whatever they may save up.
 #[test]
+fn few_that_ask_again_at_once_send_a_cold_node_no_more_than_it_bears() {
+    holds(4, 1, 2 * SECOND);
+    holds(8, 8, SECOND);
+}
+
+/// The same of a large fleet.
+#[test]
 fn thirty_that_ask_again_at_once_send_a_cold_node_no_more_than_it_bears() {
     holds(30, 30, SECOND);
     holds(30, 5, 2 * SECOND);
