--- a/crates/rehearse/src/capacity/mod.rs
+++ b/crates/rehearse/src/capacity/mod.rs
@@ -4,6 +4,7 @@
 //! one quantity, [`estimate`] applies the models to the target and its budgets, [`tables`] prints them and [`page`]
 //! checks or writes them in a Markdown file.
 
+pub mod arguments;
 pub mod documents;
 pub mod error;
 pub mod estimate;
@@ -14,24 +15,15 @@
 pub mod tables;
 pub mod target;
 
+pub use arguments::CapacityArguments;
+
+use arguments::Action;
 use documents::Documents;
 use error::CapacityError;
-use std::path::{Path, PathBuf};
 use tables::{Input, Section};
 use target::Target;
 
-/// What to do with the tables.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Action {
-    /// Print all of them.
-    Print,
-    /// Compare them with those of a page.
-    Check(PathBuf),
-    /// Put them into a page.
-    Write(PathBuf),
-}
-
-/// What came of an [`Action`].
+/// What came of a run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// All tables as Markdown.
@@ -48,11 +40,11 @@
 ///
 /// # Errors
 /// Any input that cannot be read or is not valid; nothing has been written then.
-pub fn run(results: &[PathBuf], target: &Path, action: &Action) -> Result<Outcome, CapacityError> {
-    let target = Target::load(target)?;
-    let documents = Documents::load(results)?;
+pub fn run(arguments: &CapacityArguments) -> Result<Outcome, CapacityError> {
+    let target = Target::load(&arguments.target)?;
+    let documents = Documents::load(&arguments.results)?;
     let input = Input::new(&target, &documents);
-    match action {
+    match arguments.action() {
         Action::Print => Ok(Outcome::Printed(Section::all().map(|section| input.titled(section)).collect())),
         Action::Check(path) => page::check(path, &input),
         Action::Write(path) => page::write(path, &input),
--- a/crates/rehearse/src/main.rs
+++ b/crates/rehearse/src/main.rs
@@ -4,7 +4,7 @@
 use indicatif::{ProgressBar, ProgressStyle};
 use sedgerun::config::Sources;
 use sedgerun::{command, logging};
-use sedgerun_rehearse::capacity::{self, Outcome};
+use sedgerun_rehearse::capacity::{self, CapacityArguments, Outcome};
 use sedgerun_rehearse::fleet::{self, InjectedBug};
 use sedgerun_rehearse::report::{Chart, compare_table, figure, lines, page, spread_table, table};
 use sedgerun_rehearse::scale::arguments::ScaleArguments;
@@ -14,6 +14,7 @@
 use sedgerun_rehearse::{experiment, sockets};
 use sedgerun_settings::Faults;
 use serde_json::Value;
+use std::io::Write;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::time::Duration;
@@ -47,32 +48,6 @@
     program: Option<PathBuf>,
 }
 
-#[derive(Args)]
-struct CapacityArgs {
-    /// Records of scale runs: files, or directories with before/ and after/ in them
-    #[arg(long, num_args = 1.., default_value = "docs/measurements/scale")]
-    results: Vec<PathBuf>,
-    /// The size to work out
-    #[arg(long, default_value = "deploy/targets/two-years.sexp")]
-    target: PathBuf,
-    /// Compare the tables of this page
-    #[arg(long, value_name = "PAGE", conflicts_with = "write")]
-    check: Option<PathBuf>,
-    /// Put the tables into this page
-    #[arg(long, value_name = "PAGE")]
-    write: Option<PathBuf>,
-}
-
-impl CapacityArgs {
-    fn action(&self) -> capacity::Action {
-        match (&self.check, &self.write) {
-            (Some(page), _) => capacity::Action::Check(page.clone()),
-            (None, Some(page)) => capacity::Action::Write(page.clone()),
-            (None, None) => capacity::Action::Print,
-        }
-    }
-}
-
 impl Which {
     /// Plays once, in World or on sockets.
     fn play(&self, scenario: &Scenario, seed: u64, plant: Option<world::Plant>) -> Result<Value, Faults> {
@@ -197,9 +172,7 @@
     /// Run the stand-in for discovery, told what to do on standard input: a process of scale runs
     #[command(hide = true)]
     ScaleDiscovery,
-    /// Work out what a fleet of the target's size needs, from the records of scale runs, as Markdown tables; with
-    /// --check, exit status 1 where a page holds others
-    Capacity(CapacityArgs),
+    Capacity(CapacityArguments),
     /// Write tables and charts of all results in a folder, as its README.md
     Report {
         /// The folder
@@ -323,7 +296,7 @@
         }
         // Dealt with before all else.
         Command::Serve { .. } => Ok(true),
-        Command::Capacity(args) => work_out_capacity(&args),
+        Command::Capacity(arguments) => work_out_capacity(&arguments),
         Command::Scale(arguments) => {
             let program = std::env::current_exe().map_err(plain)?;
             scale::command(&arguments, &program).map_err(plain)
@@ -336,9 +309,10 @@
     }
 }
 
-fn work_out_capacity(args: &CapacityArgs) -> Result<bool, Faults> {
-    match capacity::run(&args.results, &args.target, &args.action()).map_err(plain)? {
-        Outcome::Printed(tables) => print!("{tables}"),
+fn work_out_capacity(arguments: &CapacityArguments) -> Result<bool, Faults> {
+    match capacity::run(arguments).map_err(plain)? {
+        // Not `print!`, which panics where the reader has gone.
+        Outcome::Printed(tables) => std::io::stdout().write_all(tables.as_bytes()).map_err(plain)?,
         Outcome::Same | Outcome::Written => (),
         Outcome::Differs(difference) => {
             eprintln!("{difference}");
