--- a/crates/rehearse/tests/scale.rs
+++ b/crates/rehearse/tests/scale.rs
@@ -130,7 +130,8 @@
     let results = read(&file);
     let point = &results.points[0];
     let (whole, hollow) = (cost(point, Role::WholeHead), cost(point, Role::HollowHead));
-    let figures: [(&str, fn(&Cost) -> f64); 4] = [
+    type Figure = fn(&Cost) -> f64;
+    let figures: [(&str, Figure); 4] = [
         ("bytes in", |cost| cost.bytes_in.mean),
         ("bytes out", |cost| cost.bytes_out.mean),
         ("messages in", |cost| cost.messages_in.mean),
