--- a/crates/rehearse/src/scale/arguments.rs
+++ b/crates/rehearse/src/scale/arguments.rs
@@ -92,9 +92,9 @@
         self.heads.iter().copied().max().unwrap_or(0)
     }
 
-    /// The longest list.
-    pub fn most_backends(&self) -> u64 {
-        self.backends.iter().copied().max().unwrap_or(0)
+    /// The shortest list.
+    pub fn least_backends(&self) -> u64 {
+        self.backends.iter().copied().min().unwrap_or(0)
     }
 
     /// Hollow heads of a fleet of so many heads.
--- a/crates/rehearse/src/scale/table.rs
+++ b/crates/rehearse/src/scale/table.rs
@@ -10,6 +10,10 @@
 pub fn tables(results: &ScaleResults) -> String {
     let mut text = Vec::new();
     text.push(table(&POINT_HEADER, results.points.iter().flat_map(point_rows).collect()).to_string());
+    let fidelity: Vec<Vec<String>> = results.points.iter().flat_map(fidelity_rows).collect();
+    if !fidelity.is_empty() {
+        text.push(table(&FIDELITY_HEADER, fidelity));
+    }
     if !results.starts.is_empty() {
         text.push(table(&START_HEADER, results.starts.iter().map(start_row).collect()).to_string());
     }
@@ -22,6 +26,7 @@
         .flat_map(|fault| fault.failures.iter().map(move |failure| format!("{}: {failure}", fault.name)));
     text.extend(failures);
     text.extend(results.not_run.iter().map(|missing| format!("not run: {missing}")));
+    text.extend(results.points.iter().filter_map(|point| saturation(point, results.machine.cores)));
     let most = results.points.iter().map(|point| point.heads).max().unwrap_or(0);
     let complete = if results.complete { "complete" } else { "partial" };
     text.push(format!(
@@ -97,6 +102,57 @@
     format!("{:.2} ({:.2})", spread.mean / unit, spread.most / unit)
 }
 
+const FIDELITY_HEADER: [&str; 7] =
+    ["heads", "backends", "changes/s", "figure", "whole head", "hollow head", "hollow / whole"];
+
+/// A figure of a cost, with its name.
+type Figure = (&'static str, fn(&Cost) -> f64);
+
+/// What hollow heads are compared with whole ones by.
+const FIDELITY_FIGURES: [Figure; 5] = [
+    ("bytes/s in", |cost| cost.bytes_in.mean),
+    ("bytes/s out", |cost| cost.bytes_out.mean),
+    ("msg/s in", |cost| cost.messages_in.mean),
+    ("msg/s out", |cost| cost.messages_out.mean),
+    ("% of a core", |cost| cost.cpu_percent.mean),
+];
+
+/// Hollow heads against whole ones, where all hang on voters and so have the same to do.
+fn fidelity_rows(point: &Point) -> Vec<Vec<String>> {
+    let costs = point.roles.get(&Role::WholeHead).zip(point.roles.get(&Role::HollowHead));
+    let Some((whole, hollow)) = costs.filter(|_| point.depth.most < 1.0) else { return Vec::new() };
+    let row = |(name, figure): &Figure| {
+        let (whole, hollow) = (figure(whole), figure(hollow));
+        vec![
+            point.heads.to_string(),
+            point.backends.to_string(),
+            point.changes_per_second.to_string(),
+            (*name).to_owned(),
+            format!("{whole:.2}"),
+            format!("{hollow:.2}"),
+            format!("{:.2}", hollow / whole),
+        ]
+    };
+    FIDELITY_FIGURES.iter().map(row).collect()
+}
+
+/// Part of the machine's cores above which times are those of a machine that is too small.
+const MOST_LOAD: f64 = 0.75;
+
+/// Says that a load took more of the machine than leaves its times to be trusted.
+fn saturation(point: &Point, cores: u64) -> Option<String> {
+    let taken: f64 =
+        point.roles.values().map(|cost| cost.cpu_percent.mean * cost.count as f64).sum::<f64>() / 100.0;
+    let load = (point.heads, point.backends, point.changes_per_second);
+    (taken > MOST_LOAD * cores as f64).then(|| {
+        format!(
+            "{} heads, {} backends, {} changes a second: {taken:.1} of {cores} cores were taken, so that times are \
+             those of a machine that is too small",
+            load.0, load.1, load.2
+        )
+    })
+}
+
 const START_HEADER: [&str; 7] =
     ["heads", "backends", "started", "ready median ms", "p99 ms", "most ms", "KB in (most)"];
 
