--- a/crates/head/src/command.rs
+++ b/crates/head/src/command.rs
@@ -62,35 +62,36 @@
 
 #[derive(Subcommand)]
 enum Ask {
-    /// How each keeper stands
+    /// How each voter stands
     Status {
         /// As JSON
         #[arg(long)]
         json: bool,
     },
-    /// Begin the fleet with the keepers of this head's settings, none of which may hold anything yet
+    /// Begin the fleet with the voters of this head's settings, none of which may hold anything yet
     Begin,
-    /// How many heads keep: an odd number, 7 at the most
-    Keepers {
+    /// How many heads vote: an odd number, 7 at the most (`keepers` is the deprecated spelling)
+    #[command(alias = "keepers")]
+    Voters {
         /// How many
         number: u8,
     },
-    /// How long a keeper may be silent before another takes its place
+    /// How long a voter may be silent before another takes its place
     LostAfter {
         /// In milliseconds, 1000 at the least
         milliseconds: u64,
     },
-    /// Let a head keep again that was kept from it by `remove`
+    /// Let a head vote again that was kept from it by `remove`
     Add {
         /// The head's name
         head: String,
     },
-    /// Keep a head from keeping; another takes its place
+    /// Keep a head from voting; another takes its place
     Remove {
         /// The head's name
         head: String,
     },
-    /// Give up the store that keeps under a head's name: another takes its place at once
+    /// Give up the store that votes under a head's name: another takes its place at once
     Replace {
         /// The head's name
         head: String,
@@ -173,7 +174,7 @@
     let asked = match ask {
         Ask::Status { json } => client::status(settings, name, *json),
         Ask::Begin => client::begin(settings, name),
-        Ask::Keepers { number } => settled(by(FleetCommand::SetVoters(*number))),
+        Ask::Voters { number } => settled(by(FleetCommand::SetVoters(*number))),
         Ask::LostAfter { milliseconds } => settled(by(FleetCommand::SetDeadAfter(*milliseconds))),
         Ask::Add { head } => settled(by(FleetCommand::AllowVoter { head: head.clone(), allowed: true })),
         Ask::Remove { head } => settled(by(FleetCommand::AllowVoter { head: head.clone(), allowed: false })),
--- a/crates/head/src/fleet/client.rs
+++ b/crates/head/src/fleet/client.rs
@@ -225,6 +225,25 @@
     json!(format!("{store:016x}"))
 }
 
+/// Keys of the JSON that were renamed: the deprecated spelling, which stays for one release, and the new one.
+const RENAMED_KEYS: [(&str, &str); 3] = [("keepers", "voters"), ("lineage", "path"), ("life", "incarnation")];
+
+/// Adds the new spelling of each renamed key beside the deprecated one, in objects at any depth.
+fn add_renamed_keys(value: &mut Value) {
+    match value {
+        Value::Object(object) => {
+            object.values_mut().for_each(add_renamed_keys);
+            for (deprecated, renamed) in RENAMED_KEYS {
+                if let Some(held) = object.get(deprecated).cloned() {
+                    object.insert(renamed.to_owned(), held);
+                }
+            }
+        }
+        Value::Array(values) => values.iter_mut().for_each(add_renamed_keys),
+        _ => {}
+    }
+}
+
 fn table_json(settings: &Settings, asked: &Answers) -> Value {
     let heads: Vec<Value> = asked
         .iter()
@@ -247,7 +266,10 @@
         json!({"head": known.at.head, "role": "follower", "address": known.at.address, "zone": known.zone,
             "version": known.version, "life": known.incarnation, "store": hexadecimal(known.store)})
     });
-    json!({"fleet": settings.name, "heads": heads, "followers": followers.collect::<Vec<Value>>()})
+    let mut table =
+        json!({"fleet": settings.name, "heads": heads, "followers": followers.collect::<Vec<Value>>()});
+    add_renamed_keys(&mut table);
+    table
 }
 
 fn table(settings: &Settings, asked: &Answers) -> String {
--- a/crates/head/src/fleet/mod.rs
+++ b/crates/head/src/fleet/mod.rs
@@ -180,6 +180,8 @@
         let mut figures = vec![
             ("fleet_term", status.term),
             ("fleet_is_leader", u64::from(status.role == "leader")),
+            ("fleet_is_voter", u64::from(self.member.votes())),
+            // Deprecated spelling of `fleet_is_voter`, for one release more.
             ("fleet_is_keeper", u64::from(self.member.votes())),
             ("fleet_stopped", u64::from(status.role == "stopped")),
             ("fleet_version", status.version),
--- a/crates/head/src/fleet/settings.rs
+++ b/crates/head/src/fleet/settings.rs
@@ -5,6 +5,11 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
+/// The setting that names the voters.
+const VOTERS: &str = "fleet.voters";
+/// Deprecated spelling of [`VOTERS`]; read for one release more.
+const KEEPERS: &str = "fleet.keepers";
+
 /// What the fleet is set up with.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
@@ -28,12 +33,13 @@
 
 impl Settings {
     /// The keys of the form.
-    pub const KEYS: [&str; 8] = [
+    pub const KEYS: [&str; 9] = [
         "fleet.name",
         "fleet.secret",
         "fleet.listen",
         "fleet.dir",
-        "fleet.keepers",
+        VOTERS,
+        KEEPERS,
         "fleet.heads",
         "fleet.address",
         "fleet.zone",
@@ -72,8 +78,9 @@
             }
             heads
         };
-        let voters_text = pairs.required("fleet.keepers");
-        let voters = named("fleet.keepers", voters_text);
+        let voters_key = voters_key(pairs);
+        let voters_text = pairs.required(voters_key);
+        let voters = named(voters_key, voters_text);
         let heads = named("fleet.heads", pairs.text("fleet.heads").unwrap_or_default());
         let address = pairs.text("fleet.address").and_then(|text| {
             let read = text.parse().ok();
@@ -83,8 +90,8 @@
             read
         });
         if !voters_text.is_empty() && voters.len().is_multiple_of(2) {
-            let what = format!("setting fleet.keepers names {}: an odd number keeps", voters.len());
-            pairs.fault("fleet.keepers", what);
+            let what = format!("setting {voters_key} names {}: an odd number keeps", voters.len());
+            pairs.fault(voters_key, what);
         }
         // Two sources of tenants would contradict each other.
         if pairs.text("exports.count").is_some_and(|count| count != "0") {
@@ -110,3 +117,24 @@
         self.heads.iter().chain(&self.voters).map(|(head, at)| (head.clone(), *at)).collect()
     }
 }
+
+/// The key under which the voters are given: [`VOTERS`], or its deprecated spelling, which is logged. Both at once
+/// are a fault.
+fn voters_key(pairs: &Pairs) -> &'static str {
+    match (pairs.text(VOTERS), pairs.text(KEEPERS)) {
+        (Some(_), Some(_)) => {
+            let what = format!(
+                "settings {VOTERS} and {KEEPERS} are both given: {KEEPERS} is deprecated, leave it out"
+            );
+            pairs.fault(KEEPERS, what);
+            VOTERS
+        }
+        (None, Some(_)) => {
+            tracing::warn!(
+                "setting {KEEPERS} is deprecated and the next release no longer reads it: use {VOTERS}"
+            );
+            KEEPERS
+        }
+        _ => VOTERS,
+    }
+}
--- a/crates/rehearse/src/fleet/harness.rs
+++ b/crates/rehearse/src/fleet/harness.rs
@@ -84,7 +84,7 @@
             let zone = zone.map_or_else(String::new, |zone| format!(" (zone \"{zone}\")"));
             let operator = format!(
                 "(admin (listen \"{admin}\") (token \"{TOKEN}\"))\n(fleet (name \"demo\") \
-                 (secret \"known to the harness alone\") (listen \"{fleet}\") (dir \"{}\") (keepers {}){zone})\n",
+                 (secret \"known to the harness alone\") (listen \"{fleet}\") (dir \"{}\") (voters {}){zone})\n",
                 folder.join("store").display(),
                 named.join(" ")
             );
@@ -207,7 +207,7 @@
                 && voter["matched"] == leads["last"]
                 && running.iter().any(|name| name == head)
         };
-        Some(leads["keepers"].as_array()?.iter().filter(whole).count())
+        Some(leads["voters"].as_array()?.iter().filter(whole).count())
     }
 
     /// A caller of a head's administration API.
