--- a/crates/fleet/src/election.rs
+++ b/crates/fleet/src/election.rs
@@ -6,7 +6,7 @@
 //! votes; this decides only when one is worth its while. The waits are drawn anew each time, so that two voters
 //! that ended in a draw do not campaign together again.
 
-use crate::greeting::StoreId;
+use crate::store::StoreId;
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{Rng, SeedableRng};
 use std::collections::BTreeSet;
--- a/crates/fleet/src/greeting.rs
+++ b/crates/fleet/src/greeting.rs
@@ -1,13 +1,10 @@
 //! What two heads say first on a connection, and whether they go on.
 
+pub use crate::store::StoreId;
 use crate::watermark::{Incarnation, Watermark};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Which store speaks: made once when a folder is first used, and never again. A wiped disk has a new one, so
-/// that it can never pass for the store that it was.
-pub type StoreId = u64;
-
 /// The words of a head.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Greeting {
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,10 +1,11 @@
 //! Decisions of heads that keep state for each other: what is held, how a change to it is applied, how records
 //! are written down, and who is spoken to. No I/O, clock, socket or thread; the same input gives the same output.
 //!
-//! [`state`] is what every voter holds and every change does to it, [`view`] what of it is read and goes from head to
-//! head; [`record`] wraps whatever goes to a disk or to another head in a format version and a checksum; [`greeting`]
-//! decides whether two heads may speak, [`watermark`] whether a store is what it was, [`election`] when a voter
-//! campaigns, [`repair`] which heads vote, [`follow`] which upstream a follower polls.
+//! [`state`] is what every voter holds and every change does to it, [`view`] what of it is read and goes from
+//! head to head; [`record`] wraps whatever goes to a disk or to another head in a format version and a checksum;
+//! [`store`] is the identity of a store, [`greeting`] decides whether two heads may speak, [`watermark`] whether a
+//! store is what it was, [`election`] when a voter campaigns, [`repair`] which heads vote, [`follow`] which upstream
+//! a follower polls.
 
 pub mod election;
 pub mod follow;
@@ -12,5 +13,6 @@
 pub mod record;
 pub mod repair;
 pub mod state;
+pub mod store;
 pub mod view;
 pub mod watermark;
--- a/crates/fleet/src/repair.rs
+++ b/crates/fleet/src/repair.rs
@@ -5,7 +5,7 @@
 //! after it, so a wrong guess here costs time, never a promise; what it must not do is leave the fleet with a
 //! majority that is not there.
 
-use crate::greeting::StoreId;
+use crate::store::StoreId;
 use crate::view::Rules;
 
 /// Silence after which a voter counts as unreachable, in milliseconds: no change relies on it.
--- a/crates/fleet/src/state.rs
+++ b/crates/fleet/src/state.rs
@@ -1,7 +1,7 @@
 //! What the fleet holds, and what a change does to it. Every voter applies the same changes in the same order
 //! and so holds the same state; nothing here depends on a head's own settings, clock or chance.
 
-use crate::greeting::StoreId;
+use crate::store::StoreId;
 use crate::view::{Fields, Key, Object, Rules, VersionedObject, View};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -5,7 +5,7 @@
 //! whose last version is past `s`, in the order of their versions. What was removed stays as a tombstone with its
 //! version; the oldest tombstones go first, and a head that is behind the [floor](View::floor) begins anew.
 
-use crate::greeting::StoreId;
+use crate::store::StoreId;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/fleet/src/watermark.rs
+++ b/crates/fleet/src/watermark.rs
@@ -5,7 +5,7 @@
 //! So each head notes what each store has acknowledged to it, and in which incarnation, and a store that recovers
 //! with less is spoken to no more. A store that has just started asks the others before it votes or acknowledges.
 
-use crate::greeting::StoreId;
+use crate::store::StoreId;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
--- a/crates/head/src/fleet/change.rs
+++ b/crates/head/src/fleet/change.rs
@@ -1,12 +1,13 @@
 //! Changes and settled reads: wherever the leader is, and whichever head is asked.
 
-use super::member::{Member, Unsettled};
+use super::member::Member;
+use super::pending::{Failed, PendingChange, Unsettled};
 use super::types::{Call, Reply, Types, VoterAddress};
 use openraft::error::{ClientWriteError, RaftError};
 use openraft::raft::ClientWriteResponse;
 use sedgerun_fleet::follow::Peer;
-use sedgerun_fleet::greeting::StoreId;
 use sedgerun_fleet::state::{Change, Outcome};
+use sedgerun_fleet::store::StoreId;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::{Semaphore, mpsc, oneshot};
@@ -19,27 +20,15 @@
 /// Between tries while there is no leader.
 const RETRY: Duration = Duration::from_millis(20);
 
-/// Changes of one entry, entries on their way at once, and changes that wait.
+/// Changes of one entry.
 const MAX_TOGETHER: usize = 256;
+/// Entries on their way at once.
 const MAX_ENTRIES: usize = 2;
-/// Changes that wait; past it whoever brings one waits.
-pub const MAX_WAITING: usize = 1024;
-
-/// Why a try came to nothing.
-#[derive(Clone, Debug)]
-pub enum Failed {
-    /// This head does not lead; this one may.
-    NotLeader(Option<VoterAddress>),
-    /// Why else.
-    Other(String),
-}
 
 fn no_majority() -> String {
     "no majority of the keepers answers".to_owned()
 }
 
-/// A change that waits to be written, and who waits for it.
-pub type Waiting = (Change, oneshot::Sender<Result<Outcome, Failed>>);
 type Written =
     Result<ClientWriteResponse<Types>, RaftError<StoreId, ClientWriteError<StoreId, VoterAddress>>>;
 
@@ -77,7 +66,7 @@
     async fn write(&self, change: Change) -> Result<Outcome, Failed> {
         let gone = || Failed::Other("this head makes no changes any more".into());
         let (answer, answered) = oneshot::channel();
-        self.changes.send((change, answer)).await.map_err(|_| gone())?;
+        self.changes.send(PendingChange { change, answer }).await.map_err(|_| gone())?;
         let answered = answered.await.map_err(|_| gone())?;
         super::disk::point("before the answer to a client");
         answered
@@ -85,13 +74,13 @@
 
     /// Writes whatever changes wait, all of them as one entry: they share its syncs at each voter. A second entry
     /// gathers while the first is on its way.
-    pub async fn write_together(self: Arc<Self>, mut waiting: mpsc::Receiver<Waiting>) {
+    pub async fn write_together(self: Arc<Self>, mut waiting: mpsc::Receiver<PendingChange>) {
         let room = Arc::new(Semaphore::new(MAX_ENTRIES));
         while let Some(first) = waiting.recv().await {
             let Ok(permit) = Arc::clone(&room).acquire_owned().await else { return };
-            let (mut changes, mut answers) = (vec![first.0], vec![first.1]);
+            let (mut changes, mut answers) = (vec![first.change], vec![first.answer]);
             while changes.len() < MAX_TOGETHER {
-                let Ok((change, answer)) = waiting.try_recv() else { break };
+                let Ok(PendingChange { change, answer }) = waiting.try_recv() else { break };
                 changes.push(change);
                 answers.push(answer);
             }
--- a/crates/head/src/fleet/follow.rs
+++ b/crates/head/src/fleet/follow.rs
@@ -6,12 +6,13 @@
 use sedgerun_fleet::follow::{Admission, Downstream, Next, Peer, UpdateReply};
 use sedgerun_fleet::greeting::Greeting;
 use sedgerun_fleet::record::RecordType;
+use sedgerun_fleet::view::Chunk;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 use tokio::time::Instant;
 
 /// Size of one chunk of an update, about, in bytes.
-pub const CHUNK_BYTES: usize = 256 << 10;
+const CHUNK_BYTES: usize = 256 << 10;
 /// How long a follower waits for an update at its upstream; and then asks again, so that both know of each other.
 const LONG_POLL: Duration = Duration::from_secs(1);
 /// Time that the answer may take on top.
@@ -58,10 +59,15 @@
         let own = self.links.own();
         let leads = self.leads().then_some(Peer { head: own.head, address: own.address });
         let leader = leads.or_else(|| self.leader());
-        let chunk = self.machine.read(|view| view.chunk(request.since, request.first_version, CHUNK_BYTES));
+        let chunk = self.serve_chunk(request.since, request.first_version);
         Reply::Update(Some(origin), UpdateReply::Chunk { chunk, path, age, leader, voters: self.voters() })
     }
 
+    /// The next chunk for a head that holds all up to `since`, in a transfer that began at `first_version`.
+    pub fn serve_chunk(&self, since: u64, first_version: u64) -> Chunk {
+        self.machine.read(|view| view.chunk(since, first_version, CHUNK_BYTES))
+    }
+
     /// Follows for as long as this head does not vote.
     pub async fn follow(&self) {
         let mut reported: Option<Instant> = None;
--- a/crates/head/src/fleet/member.rs
+++ b/crates/head/src/fleet/member.rs
@@ -1,11 +1,11 @@
 //! One head as a member of the fleet: a voter or a follower, and its status.
 
-use super::change::Waiting;
 use super::disk::{Disk, Held, Identity};
 use super::environment::{Dial, now, random};
 use super::link::{Links, protocol};
 use super::log::Log;
 use super::machine::Machine;
+use super::pending::PendingChange;
 use super::settings::Settings;
 use super::types::{Call, LogId, Raft, Reply, Status, Vote, VoterAddress, VoterStatus};
 use openraft::raft::AppendEntriesResponse;
@@ -51,10 +51,6 @@
     SNAPSHOT_CHUNK
 }
 
-/// Why a change was not answered.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Unsettled(pub String);
-
 /// A head as a member of the fleet: a voter or a follower.
 pub struct Member {
     /// The protocol.
@@ -82,7 +78,7 @@
     follower: Mutex<Follower>,
     followers: Mutex<Followers>,
     /// Changes that wait to be written.
-    pub changes: mpsc::Sender<Waiting>,
+    pub changes: mpsc::Sender<PendingChange>,
 }
 
 /// Guards against one panic that would end all threads that look.
@@ -111,7 +107,7 @@
         address: SocketAddr,
         (disk, held): (Disk, Held),
         dial: Arc<dyn Dial>,
-        changes: mpsc::Sender<Waiting>,
+        changes: mpsc::Sender<PendingChange>,
     ) -> Result<Member, String> {
         let initial_watermark = held.watermark();
         let Held { identity, vote, committed, purged, log, watermarks, snapshot, followed } = held;
@@ -240,9 +236,7 @@
             },
             Call::Silent(last) => Reply::Silent(self.raft_id(), self.is_silent(last)),
             Call::Follow(request) => self.serve_update(*request, from).await,
-            Call::Chunk(since, first_version) => Reply::Chunk(
-                self.machine.read(|view| view.chunk(since, first_version, super::follow::CHUNK_BYTES)),
-            ),
+            Call::Chunk(since, first_version) => Reply::Chunk(self.serve_chunk(since, first_version)),
             _ => Reply::Status(Box::new(self.status())),
         }
     }
--- a/crates/head/src/fleet/mod.rs
+++ b/crates/head/src/fleet/mod.rs
@@ -13,6 +13,7 @@
 mod machine;
 mod member;
 pub mod node;
+mod pending;
 mod recovery;
 mod repair;
 mod serve;
@@ -25,8 +26,8 @@
 use crate::traffic::TrafficTotals;
 use environment::{Tcp, random};
 use member::Member;
-pub use member::Unsettled;
 use node::Node;
+pub use pending::Unsettled;
 use sedgerun_fleet::state::{Change, Command, Outcome};
 use sedgerun_fleet::view::{Fields, Tenant};
 use sedgerun_settings::Pairs;
@@ -89,7 +90,9 @@
                 match node {
                     Ok((node, listener)) => {
                         let _ = started.send(Ok((Handle::current(), Arc::clone(&node.member))));
-                        serve::serve(node, listener).await;
+                        serve::serve(Arc::clone(&node.member), listener).await;
+                        // Its tasks end with it.
+                        drop(node);
                     }
                     Err(what) => drop(started.send(Err(what))),
                 }
--- a/crates/head/src/fleet/node.rs
+++ b/crates/head/src/fleet/node.rs
@@ -1,10 +1,10 @@
 //! One head's part in a fleet with all that it does by itself, on whatever carries it: real sockets and a real disk,
 //! or those of a simulator.
 
-use super::change::MAX_WAITING;
 use super::disk::{Disk, Held};
 use super::environment::{Connection, Dial};
-use super::member::{Member, Unsettled};
+use super::member::Member;
+use super::pending::{MAX_WAITING, Unsettled};
 use super::serve::{MAX_CALLERS, serve_connection};
 use super::settings::Settings;
 use super::types::Status;
--- a/crates/head/src/fleet/serve.rs
+++ b/crates/head/src/fleet/serve.rs
@@ -3,7 +3,6 @@
 use super::environment::Connection;
 use super::link::{GREETING, receive, send};
 use super::member::Member;
-use super::node::Node;
 use super::types::Call;
 use sedgerun_fleet::greeting::{Greeting, Refusal};
 use sedgerun_fleet::record::RecordType;
@@ -22,7 +21,7 @@
 const ANSWER: Duration = Duration::from_secs(5);
 
 /// Accepts heads for as long as the future is polled.
-pub async fn serve(node: Node, listener: TcpListener) {
+pub async fn serve(member: Arc<Member>, listener: TcpListener) {
     let room = Arc::new(Semaphore::new(MAX_CALLERS));
     loop {
         let Ok((stream, peer)) = listener.accept().await else {
@@ -31,7 +30,7 @@
         };
         // Guards against callers that connect and stay: those past the bound are closed at once.
         let Ok(permit) = Arc::clone(&room).try_acquire_owned() else { continue };
-        let member = Arc::clone(&node.member);
+        let member = Arc::clone(&member);
         tokio::spawn(async move {
             let served = match stream.set_nodelay(true) {
                 Ok(()) => serve_connection(&member, Box::new(stream)).await,
