--- a/crates/fleet/src/greeting.rs
+++ b/crates/fleet/src/greeting.rs
@@ -87,37 +87,3 @@
     let bytes = stores.iter().flat_map(|store| store.to_le_bytes());
     bytes.fold(0xcbf2_9ce4_8422_2325, |sum, byte| (sum ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3))
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn strangers_are_refused_each_with_its_reason() {
-        let own = Greeting {
-            fleet: "sesvete".into(),
-            secret: "known to the fleet".into(),
-            head: "h1".into(),
-            store: Some(1),
-            zone: None,
-            address: String::new(),
-            incarnation: Incarnation { count: 4, nonce: 7 },
-            initial_watermark: Watermark::default(),
-            origin: Some(9),
-        };
-        let other = Greeting { head: "h2".into(), store: Some(2), ..own.clone() };
-        assert_eq!(admit(&own, &other), Ok(()));
-        assert_eq!(admit(&own, &Greeting { origin: None, ..other.clone() }), Ok(()));
-        let fleet = Greeting { fleet: "perth".into(), ..other.clone() };
-        assert_eq!(admit(&own, &fleet), Err(Refusal::Fleet));
-        let secret = Greeting { secret: "known to the fleeT".into(), ..other.clone() };
-        assert_eq!(admit(&own, &secret), Err(Refusal::Secret));
-        assert_eq!(admit(&own, &Greeting { origin: Some(8), ..other.clone() }), Err(Refusal::Origin));
-        assert_eq!(admit(&own, &Greeting { head: "h1".into(), ..other.clone() }), Err(Refusal::Name));
-        // The command line of the same head has no store.
-        let line = Greeting { head: "h1".into(), store: None, ..other };
-        assert_eq!((admit(&own, &line), admit(&line, &own)), (Ok(()), Ok(())));
-        assert_eq!(origin([3, 1, 2]), origin([1, 2, 3]));
-        assert_ne!(origin([1, 2]), origin([1, 2, 3]));
-    }
-}
--- a/crates/fleet/src/record.rs
+++ b/crates/fleet/src/record.rs
@@ -13,7 +13,7 @@
 /// The format that this program writes. It reads no other.
 pub const FORMAT_VERSION: u8 = 2;
 /// Bytes of a record before its body.
-const HEADER_BYTES: usize = 6;
+pub const HEADER_BYTES: usize = 6;
 
 /// What a record is of; one read as another kind is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -110,34 +110,3 @@
         _ => Err(CorruptRecord::Body),
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use proptest::prelude::*;
-
-    proptest! {
-        #[test]
-        fn a_record_with_any_bit_turned_is_refused(text in ".{0,60}", bit in any::<prop::sample::Index>()) {
-            let record = seal(RecordType::Entry, &text).expect("a record");
-            prop_assert_eq!(open::<String>(RecordType::Entry, &record), Ok(text));
-            let (mut turned, bit) = (record.clone(), bit.index(record.len() * 8));
-            turned[bit / 8] ^= 1 << (bit % 8);
-            prop_assert!(open::<String>(RecordType::Entry, &turned).is_err());
-            prop_assert!(open::<String>(RecordType::Entry, &record[..record.len() - 1]).is_err());
-        }
-    }
-
-    #[test]
-    fn a_record_of_another_kind_or_format_is_refused_by_name() {
-        let some = seal(RecordType::Position, &Some((1u8, 7u8))).expect("a record");
-        assert_eq!(open::<(u8, u8)>(RecordType::Position, &some), Err(CorruptRecord::Body));
-        let record = seal(RecordType::Vote, &7u64).expect("a record");
-        assert_eq!(open::<u64>(RecordType::Entry, &record), Err(CorruptRecord::RecordType(2)));
-        let mut newer = record;
-        newer[1] = FORMAT_VERSION + 1;
-        let sum = checksum(newer[0], newer[1], &newer[HEADER_BYTES..]);
-        newer[2..HEADER_BYTES].copy_from_slice(&sum.to_le_bytes());
-        assert_eq!(open::<u64>(RecordType::Vote, &newer), Err(CorruptRecord::Format(FORMAT_VERSION + 1)));
-    }
-}
--- a/crates/fleet/src/state.rs
+++ b/crates/fleet/src/state.rs
@@ -140,6 +140,16 @@
         outcome
     }
 
+    /// The answers that are kept, by the keys of their changes.
+    pub fn answers(&self) -> &BTreeMap<String, (Change, Outcome)> {
+        &self.answers
+    }
+
+    /// The keys of the answers that are kept, the oldest first.
+    pub fn answer_order(&self) -> &VecDeque<String> {
+        &self.order
+    }
+
     /// Names of exports over all tenants are one space: clients attach by them.
     fn taken(&self, export: &str, by_others_than: &str) -> bool {
         let mut others = self.view.tenants.iter().filter(|(name, _)| *name != by_others_than);
@@ -294,92 +304,3 @@
     let fits = !name.is_empty() && name.len() <= MAX_NAME && !name.chars().any(char::is_control);
     if fits { Ok(()) } else { Err(Outcome::Conflict(format!("a name is 1 to {MAX_NAME} bytes of text"))) }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn put(key: &str, tenant: &str, export: &str, shard: &str, expect: Option<u64>) -> Change {
-        let fields = Fields::from([("shard".to_owned(), shard.to_owned())]);
-        let (tenant, export) = (tenant.to_owned(), export.to_owned());
-        Change { key: key.into(), expect, command: Command::PutExport { tenant, export, fields } }
-    }
-
-    fn rule(key: &str, command: Command) -> Change {
-        Change { key: key.into(), expect: None, command }
-    }
-
-    fn delete(key: &str, tenant: &str) -> Change {
-        rule(key, Command::DeleteTenant { tenant: tenant.into() })
-    }
-
-    #[test]
-    fn a_change_that_comes_again_happens_once_and_gets_the_first_answer() {
-        let mut state = State::default();
-        let first = state.apply(put("k1", "horvat", "press", "3", Some(0)));
-        assert_eq!(first, Outcome::Done { version: 1, fresh: true });
-        assert_eq!(state.apply(delete("k2", "horvat")), Outcome::Done { version: 2, fresh: false });
-        // Without the key kept, the repeat would bring the deleted tenant back.
-        assert_eq!(state.apply(put("k1", "horvat", "press", "3", Some(0))), first);
-        assert!(state.view.tenants.is_empty() && state.view.version == 2);
-        assert_eq!(state.apply(put("k1", "horvat", "press", "4", Some(0))), Outcome::Reused);
-    }
-
-    #[test]
-    fn kept_answers_are_bounded() {
-        let mut state = State::default();
-        for i in 0..MAX_ANSWERS + 10 {
-            state.apply(put(&format!("k{i}"), "horvat", "press", "3", None));
-        }
-        assert_eq!((state.answers.len(), state.order.len()), (MAX_ANSWERS, MAX_ANSWERS));
-        assert!(!state.answers.contains_key("k9") && state.answers.contains_key("k10"));
-    }
-
-    #[test]
-    fn compare_and_set_names_the_version_that_stands() {
-        let mut state = State::default();
-        state.apply(put("k1", "horvat", "press", "3", None));
-        assert_eq!(state.apply(put("k2", "horvat", "proofs", "3", Some(0))), Outcome::Stale(1));
-        assert_eq!(
-            state.apply(put("k3", "horvat", "proofs", "3", Some(1))),
-            Outcome::Done { version: 2, fresh: true }
-        );
-        assert_eq!(state.view.tenants["horvat"].version, 2);
-    }
-
-    #[test]
-    fn what_cannot_be_done_changes_nothing() {
-        let mut state = State::default();
-        state.apply(put("k1", "horvat", "press", "3", None));
-        let before = state.view.clone();
-        let taken = state.apply(put("k2", "other", "press", "3", None));
-        assert!(matches!(taken, Outcome::Conflict(_)), "{taken:?}");
-        assert!(matches!(state.apply(delete("k3", "nobody")), Outcome::Missing(_)));
-        assert!(matches!(state.apply(put("k4", "", "x", "3", None)), Outcome::Conflict(_)));
-        assert!(matches!(state.apply(rule("k5", Command::SetVoters(4))), Outcome::Conflict(_)));
-        assert!(matches!(state.apply(rule("k6", Command::SetDeadAfter(5))), Outcome::Conflict(_)));
-        assert!(matches!(state.apply(rule("k7", Command::Restore(vec![]))), Outcome::Conflict(_)));
-        let lift = Command::Ban { backend: "s-1".into(), banned: false };
-        assert!(matches!(state.apply(rule("k8", lift)), Outcome::Missing(_)));
-        assert_eq!(state.view, before);
-    }
-
-    #[test]
-    fn a_backup_goes_into_an_empty_state_and_says_the_same() {
-        let mut state = State::default();
-        state.apply(put("k1", "horvat", "press", "3", None));
-        state.apply(put("k2", "novak", "maps", "4", None));
-        state.apply(delete("k3", "horvat"));
-        state.apply(rule("k4", Command::Ban { backend: "s-1".into(), banned: true }));
-        state.apply(rule("k5", Command::SetVoters(5)));
-        let mut other = State::default();
-        let objects = state.view.objects().collect();
-        assert_eq!(
-            other.apply(rule("r", Command::Restore(objects))),
-            Outcome::Done { version: 3, fresh: true }
-        );
-        assert_eq!(other.view.tenants["novak"].exports, state.view.tenants["novak"].exports);
-        assert_eq!((other.view.tenants.len(), &other.view.rules), (1, &state.view.rules));
-        assert!(other.view.bans.contains_key("s-1"));
-    }
-}
--- /dev/null
+++ b/crates/fleet/tests/election.rs
@@ -0,0 +1,51 @@
+//! When a voter campaigns: timeouts, questions to the others, and draws.
+
+use sedgerun_fleet::election::{Election, ElectionTimeouts, Millis, Step};
+use std::collections::BTreeSet;
+
+const ELECTION_TIMEOUTS: ElectionTimeouts =
+    ElectionTimeouts { leader_timeout_ms: 500, jitter_ms: 300, retry_ms: 400 };
+
+fn silent(election: &mut Election) -> (Millis, u64) {
+    let voters = BTreeSet::from([1, 2, 3, 4, 5]);
+    let Step::Wait(due) = election.step(0, 1, &voters) else { panic!("at once") };
+    let Step::Ask(question, others) = election.step(due, 1, &voters) else { panic!("unasked") };
+    assert_eq!(others, BTreeSet::from([2, 3, 4, 5]));
+    (due, question)
+}
+
+#[test]
+fn it_campaigns_only_when_a_majority_hears_nobody() {
+    let mut election = Election::new(ELECTION_TIMEOUTS, 1, 0);
+    let (due, question) = silent(&mut election);
+    assert!((500..=800).contains(&due));
+    // Of five, two more make a majority; one that hears a leader, a stranger and a repeat do not count.
+    for (from, silent) in [(2, false), (9, true), (3, true), (3, true)] {
+        assert!(matches!(election.on_answer(due, question, from, silent), Step::Wait(_)), "{from}");
+    }
+    assert_eq!(election.on_answer(due, question, 4, true), Step::Campaign);
+    assert!(matches!(election.on_answer(due, question, 5, true), Step::Wait(_)), "twice");
+}
+
+#[test]
+fn a_leader_heard_in_between_calls_it_off() {
+    let mut election = Election::new(ELECTION_TIMEOUTS, 1, 0);
+    let (due, question) = silent(&mut election);
+    election.on_heartbeat(due);
+    assert!(election.hears_leader(due + 499) && !election.hears_leader(due + 500));
+    for from in 2..=5 {
+        assert!(matches!(election.on_answer(due + 1, question, from, true), Step::Wait(_)));
+    }
+}
+
+#[test]
+fn waits_after_a_draw_differ() {
+    let dues = (0..20).map(|seed| {
+        let mut election = Election::new(ELECTION_TIMEOUTS, seed, 0);
+        let (due, _) = silent(&mut election);
+        let Step::Wait(again) = election.step(due, 1, &BTreeSet::from([1, 2, 3])) else { panic!("at once") };
+        assert!((200..=400).contains(&(again - due)));
+        (due, again)
+    });
+    assert!(dues.collect::<BTreeSet<_>>().len() > 15);
+}
