--- a/crates/rehearse/src/experiment.rs
+++ b/crates/rehearse/src/experiment.rs
@@ -3,23 +3,23 @@
 use crate::auditor::Rule;
 use crate::draw::Drawn;
 use crate::scenario::Scenario;
-use crate::world::{Plant, World};
+use crate::simulator::{InjectedBug, Simulator};
 use sedgerun_settings::Faults;
 use serde_json::{Value, json};
 use statrs::distribution::{ContinuousCDF, StudentsT};
 use std::collections::BTreeMap;
 use std::time::Instant;
 
-/// One rehearsal in World: its figures, with the digest and what it cost here.
-pub fn in_world(scenario: &Scenario, seed: u64, plant: Option<Plant>) -> Result<Value, Faults> {
+/// One rehearsal in the simulator: its figures, with the digest and what it cost here.
+pub fn simulate(scenario: &Scenario, seed: u64, bug: Option<InjectedBug>) -> Result<Value, Faults> {
     let drawn = Drawn::new(scenario, seed)?;
     let begun = Instant::now();
-    let mut world = World::new(scenario, &drawn, seed, plant);
-    let digest = world.run();
+    let mut simulator = Simulator::new(scenario, &drawn, seed, bug);
+    let digest = simulator.run();
     let took = begun.elapsed().as_secs_f64();
-    let mut result = world.figures.to_json(scenario, seed, "world", &world.auditor);
+    let mut result = simulator.figures.to_json(scenario, seed, "world", &simulator.auditor);
     result["digest"] = json!(format!("{digest:016x}"));
-    result["events"] = json!(world.events);
+    result["events"] = json!(simulator.events);
     result["took_s"] = json!(took);
     Ok(result)
 }
@@ -107,11 +107,11 @@
     (b.mean - a.mean, quantile(freedom) * (va + vb).sqrt())
 }
 
-/// What World costs at a size: requests, events, and time for each request, us; the best of some runs.
+/// What the simulator costs at a size: requests, events, and time for each request, us; the best of some runs.
 pub fn speed(scenario: &Scenario, runs: u64) -> Result<(u64, u64, f64), Faults> {
     let mut best = (0, 0, f64::INFINITY);
     for _ in 0..runs {
-        let result = in_world(scenario, scenario.seed, None)?;
+        let result = simulate(scenario, scenario.seed, None)?;
         let requests = result["requests"].as_u64().unwrap_or(0);
         let cost = result["took_s"].as_f64().unwrap_or(0.0) * 1e6 / requests.max(1) as f64;
         if cost < best.2 {
--- a/crates/rehearse/src/lib.rs
+++ b/crates/rehearse/src/lib.rs
@@ -13,5 +13,5 @@
 pub mod scale;
 pub mod scenario;
 pub mod script;
+pub mod simulator;
 pub mod sockets;
-pub mod world;
--- a/crates/rehearse/src/main.rs
+++ b/crates/rehearse/src/main.rs
@@ -10,7 +10,7 @@
 use sedgerun_rehearse::scale::arguments::ScaleArguments;
 use sedgerun_rehearse::scale::{self, discovery, host, host_process};
 use sedgerun_rehearse::scenario::Scenario;
-use sedgerun_rehearse::world;
+use sedgerun_rehearse::simulator;
 use sedgerun_rehearse::{experiment, sockets};
 use sedgerun_settings::Faults;
 use serde_json::Value;
@@ -40,7 +40,7 @@
     /// Write the figures to a file
     #[arg(long)]
     json: Option<String>,
-    /// Play on loopback sockets with real heads, in real time, in place of World
+    /// Play on loopback sockets with real heads, in real time, in place of the simulator
     #[arg(long)]
     sockets: bool,
     /// The program of the heads; the heads that this program is built with where it is absent
@@ -49,10 +49,15 @@
 }
 
 impl Which {
-    /// Plays once, in World or on sockets.
-    fn play(&self, scenario: &Scenario, seed: u64, plant: Option<world::Plant>) -> Result<Value, Faults> {
+    /// Plays once, in the simulator or on sockets.
+    fn play(
+        &self,
+        scenario: &Scenario,
+        seed: u64,
+        plant: Option<simulator::InjectedBug>,
+    ) -> Result<Value, Faults> {
         if !self.sockets {
-            return experiment::in_world(scenario, seed, plant);
+            return experiment::simulate(scenario, seed, plant);
         }
         let program = self.program.clone().map_or_else(std::env::current_exe, Ok).map_err(plain)?;
         sockets::play(scenario, seed, &program, &|_| ()).map_err(plain)
@@ -101,7 +106,7 @@
         /// The results after
         b: String,
     },
-    /// How fast World is: requests a second and the cost of each, at several sizes of the fleet
+    /// How fast the simulator is: requests a second and the cost of each, at several sizes of the fleet
     Speed {
         #[command(flatten)]
         which: Which,
@@ -121,7 +126,7 @@
         #[arg(long, default_value_t = 12)]
         seconds: u32,
     },
-    /// Play the fleet's store in its World under faults, seed by seed; exit status 1 where a rule broke
+    /// Play the fleet's store in its simulator under faults, seed by seed; exit status 1 where a rule broke
     Store {
         /// The first seed
         #[arg(long, default_value_t = 1)]
@@ -325,7 +330,8 @@
 fn run_once(which: &Which, plant: Option<&str>) -> Result<bool, Faults> {
     let scenario = load(which)?;
     let plant = plant.map(|name| {
-        let found = world::Plant::ALL.iter().find(|(_, known)| *known == name).map(|(plant, _)| *plant);
+        let found =
+            simulator::InjectedBug::ALL.iter().find(|(_, known)| *known == name).map(|(plant, _)| *plant);
         found.ok_or_else(|| plain(format!("--plant {name} is unknown")))
     });
     let result = which.play(&scenario, scenario.seed, plant.transpose()?)?;
--- a/crates/rehearse/src/simulator.rs
+++ b/crates/rehearse/src/simulator.rs
@@ -1,6 +1,5 @@
-//! World: a whole fleet in one process and in virtual time. Every head is the real exchange with the real
-//! decision
-//! module; boxes, registry, network and clients are models. One thread, one queue of events, no clock.
+//! The simulator: a whole fleet in one process and in virtual time. Every head is the real exchange with the real
+//! decision module; boxes, registry, network and clients are models. One thread, one queue of events, no clock.
 //!
 //! Every event is added to a digest, so that two runs are the same if and only if their digests are.
 
@@ -24,9 +23,9 @@
 /// How long a request takes from its client to its head, and an answer back.
 const CLIENT_HOP: Micros = 200;
 
-/// A fault that is planted in the heads, to show that the auditor sees it.
+/// A bug that is injected into the heads, to show that the auditor sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Plant {
+pub enum InjectedBug {
     /// Now and then an answer goes out twice.
     AnswerTwice,
     /// Now and then an answer is not given.
@@ -45,17 +44,17 @@
     Starve,
 }
 
-impl Plant {
+impl InjectedBug {
     /// All, with their names on the command line.
-    pub const ALL: [(Plant, &'static str); 8] = [
-        (Plant::AnswerTwice, "answer-twice"),
-        (Plant::Swallow, "swallow"),
-        (Plant::SendTwice, "send-twice"),
-        (Plant::WriteAgain, "write-again"),
-        (Plant::IgnoreDrains, "ignore-drains"),
-        (Plant::FloodCold, "flood-cold"),
-        (Plant::Mix, "mix"),
-        (Plant::Starve, "starve"),
+    pub const ALL: [(InjectedBug, &'static str); 8] = [
+        (InjectedBug::AnswerTwice, "answer-twice"),
+        (InjectedBug::Swallow, "swallow"),
+        (InjectedBug::SendTwice, "send-twice"),
+        (InjectedBug::WriteAgain, "write-again"),
+        (InjectedBug::IgnoreDrains, "ignore-drains"),
+        (InjectedBug::FloodCold, "flood-cold"),
+        (InjectedBug::Mix, "mix"),
+        (InjectedBug::Starve, "starve"),
     ];
 }
 
@@ -65,8 +64,8 @@
     Arrive(u32),
     /// A try of a client comes to its head.
     Ask(u32),
-    /// A client's patience ends.
-    Patience(u32),
+    /// A client's deadline passes.
+    Deadline(u32),
     /// An answer comes to its client.
     Answer(u32),
     /// Timers of a head.
@@ -99,7 +98,7 @@
 #[derive(Debug)]
 struct Head {
     exchange: Option<Exchange<Packet, Ticket>>,
-    life: u32,
+    incarnation: u32,
     armed: Micros,
     open: HashMap<RequestId, u32>,
     flights: HashMap<(RequestId, u8), u32>,
@@ -121,7 +120,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Attempt {
     head: u16,
-    life: u32,
+    incarnation: u32,
     id: RequestId,
     number: u8,
     ask: u32,
@@ -135,7 +134,7 @@
     epoch: u32,
 }
 
-/// One box, in one life at one address.
+/// One box, in one incarnation at one address.
 #[derive(Debug)]
 struct Machine {
     disk: Option<DiskBox>,
@@ -168,7 +167,7 @@
 }
 
 /// A rehearsal in virtual time.
-pub struct World<'a> {
+pub struct Simulator<'a> {
     scenario: &'a Scenario,
     seed: u64,
     drawn: &'a Drawn,
@@ -189,8 +188,9 @@
     random: ChaCha8Rng,
     disk_figures: DiskFigures,
     digest: Xxh64,
-    plant: Option<Plant>,
-    planted: u64,
+    bug: Option<InjectedBug>,
+    /// How often the injected bug could have acted.
+    opportunities: u64,
     /// The auditor.
     pub auditor: Auditor,
     /// The figures.
@@ -204,9 +204,14 @@
     drawn.volumes.iter().map(|volume| drawn.settings.plans[volume.plan].reserve).collect()
 }
 
-impl<'a> World<'a> {
-    /// A world that has not begun.
-    pub fn new(scenario: &'a Scenario, drawn: &'a Drawn, seed: u64, plant: Option<Plant>) -> World<'a> {
+impl<'a> Simulator<'a> {
+    /// A simulator that has not begun.
+    pub fn new(
+        scenario: &'a Scenario,
+        drawn: &'a Drawn,
+        seed: u64,
+        bug: Option<InjectedBug>,
+    ) -> Simulator<'a> {
         let disk_figures = DiskFigures::new(scenario);
         let machines: Vec<Machine> = drawn
             .boxes
@@ -226,7 +231,7 @@
         let heads = (0..scenario.heads)
             .map(|_| Head {
                 exchange: None,
-                life: 0,
+                incarnation: 0,
                 armed: Micros::MAX,
                 open: HashMap::new(),
                 flights: HashMap::new(),
@@ -234,7 +239,7 @@
             })
             .collect();
         let grace = drawn.settings.rules.drain_grace;
-        World {
+        Simulator {
             scenario,
             seed,
             drawn,
@@ -252,8 +257,8 @@
             random,
             disk_figures,
             digest: Xxh64::new(seed),
-            plant,
-            planted: 0,
+            bug,
+            opportunities: 0,
             auditor: Auditor::new(START, grace, reserves(drawn)),
             figures: Figures::new(scenario, machines.len()),
             events: 0,
@@ -300,9 +305,9 @@
         let (kind, a, b) = match event {
             Event::Arrive(i) => (1u64, u64::from(i), 0),
             Event::Ask(i) => (2, u64::from(i), 0),
-            Event::Patience(i) => (3, u64::from(i), 0),
+            Event::Deadline(i) => (3, u64::from(i), 0),
             Event::Answer(i) => (4, u64::from(i), 0),
-            Event::Head(head, life) => (5, u64::from(head), u64::from(life)),
+            Event::Head(head, incarnation) => (5, u64::from(head), u64::from(incarnation)),
             Event::Start(head) => (6, u64::from(head), 0),
             Event::AtBox(i) => (7, u64::from(i), 0),
             Event::Box(i, generation) => (8, u64::from(i), generation),
@@ -321,12 +326,12 @@
         match event {
             Event::Arrive(i) => self.arrive(i),
             Event::Ask(ask) => self.ask(ask),
-            Event::Patience(ask) => self.patience(ask),
+            Event::Deadline(ask) => self.deadline(ask),
             Event::Answer(ask) => self.answer(ask),
-            Event::Head(head, life) => {
+            Event::Head(head, incarnation) => {
                 let head = usize::from(head);
                 // One that was armed earlier than its event stands has been overtaken.
-                if self.heads[head].life == life && self.heads[head].armed == self.now {
+                if self.heads[head].incarnation == incarnation && self.heads[head].armed == self.now {
                     self.heads[head].armed = Micros::MAX;
                     self.with(head, |exchange, now| exchange.tick(now));
                 }
@@ -343,7 +348,7 @@
             Event::Cancelled(attempt) => self.cancelled(attempt),
             Event::Registry => {
                 self.registry_armed = Micros::MAX;
-                self.tell();
+                self.deliver_updates();
             }
             Event::Step(step) => self.step(step as usize),
             Event::Replaced(machine) => self.replaced(machine as usize),
@@ -376,4 +381,4 @@
 mod clients;
 mod heads;
 mod network;
-mod strikes;
+mod script_steps;
--- a/crates/rehearse/src/simulator/clients.rs
+++ b/crates/rehearse/src/simulator/clients.rs
@@ -1,7 +1,7 @@
-//! The clients of a [`World`]: requests that are due whatever became of others, their tries, and what they
+//! The clients of a [`Simulator`]: requests that are due whatever became of others, their tries, and what they
 //! came to.
 
-use super::{CLIENT_HOP, Event, Packet, Plant, START, Try, World};
+use super::{CLIENT_HOP, Event, InjectedBug, Packet, START, Simulator, Try};
 use crate::auditor::{Said, Ticket};
 use crate::draw::{Arrival, Home, within};
 use crate::figures::{Fate, Outcome};
@@ -9,7 +9,7 @@
 use sedgerun_core::exchange::Ask;
 use sedgerun_decide::api::Micros;
 
-impl<'a> World<'a> {
+impl<'a> Simulator<'a> {
     pub(super) fn arrival(&self, ask: u32) -> &'a Arrival {
         &self.drawn.arrivals[self.tries[ask as usize].arrival as usize]
     }
@@ -19,8 +19,8 @@
             self.at(START + next.due, Event::Arrive(i + 1));
         }
         let arrival = &self.drawn.arrivals[i as usize];
-        let patience = self.drawn.settings.classes[usize::from(arrival.class)].deadline;
-        self.begin(i, false, START + arrival.due + patience, self.now);
+        let deadline = self.drawn.settings.classes[usize::from(arrival.class)].deadline;
+        self.begin(i, false, START + arrival.due + deadline, self.now);
     }
 
     pub(super) fn begin(&mut self, arrival: u32, again: bool, by: Micros, at: Micros) {
@@ -28,7 +28,7 @@
         self.tries.push(Try { arrival, again, by, id: None, answer: None, over: false });
         self.figures.retries += u64::from(again);
         self.at(at + CLIENT_HOP, Event::Ask(ask));
-        self.at(by, Event::Patience(ask));
+        self.at(by, Event::Deadline(ask));
     }
 
     pub(super) fn ask(&mut self, ask: u32) {
@@ -52,7 +52,7 @@
             hosts: volume.heads.len() as f64,
         };
         self.auditor.taken(u64::from(ask), head, by, self.scenario.classes[class].repeat);
-        if self.plant == Some(Plant::Starve) && arrival.volume == 0 {
+        if self.bug == Some(InjectedBug::Starve) && arrival.volume == 0 {
             return self.settle(ask, Fate::Refused, u64::from(ask), CLIENT_HOP);
         }
         let (now, entry) = (self.now, &mut self.heads[head]);
@@ -104,7 +104,7 @@
         }
     }
 
-    pub(super) fn patience(&mut self, ask: u32) {
+    pub(super) fn deadline(&mut self, ask: u32) {
         let tried = &mut self.tries[ask as usize];
         if std::mem::replace(&mut tried.over, true) {
             return;
--- a/crates/rehearse/src/simulator/heads.rs
+++ b/crates/rehearse/src/simulator/heads.rs
@@ -1,22 +1,21 @@
-//! The heads of a [`World`]: each an exchange whose effects are carried out here, and what a planted fault
-//! makes of
-//! them.
+//! The heads of a [`Simulator`]: each an exchange whose effects are carried out here, and what an
+//! injected bug makes of them.
 
-use super::{CLIENT_HOP, Event, Packet, Plant, World, machine_of};
+use super::{CLIENT_HOP, Event, InjectedBug, Packet, Simulator, machine_of};
 use crate::auditor::{Proof, Said, Ticket};
 use crate::figures::Fate;
 use sedgerun_core::exchange::{Answer, Effect, Exchange};
 use sedgerun_decide::api::{Micros, NodeId, RequestId, Scope};
 
-/// How often the planted faults that strike now and then do so: once in so many.
-const NOW_AND_THEN: u64 = 50;
+/// Injected bugs that act now and then do so once in so many opportunities.
+const ACT_EVERY: u64 = 50;
 
-impl World<'_> {
+impl Simulator<'_> {
     pub(super) fn start_head(&mut self, head: usize) {
         let entry = &mut self.heads[head];
-        entry.life += 1;
-        let seed =
-            self.seed.wrapping_mul(0x9e37_79b9).wrapping_add((head as u64) << 20) + u64::from(entry.life);
+        entry.incarnation += 1;
+        let seed = self.seed.wrapping_mul(0x9e37_79b9).wrapping_add((head as u64) << 20)
+            + u64::from(entry.incarnation);
         let most = self.scenario.max_open as usize;
         entry.exchange = Some(Exchange::new(self.drawn.settings.clone(), seed, most));
         entry.armed = Micros::MAX;
@@ -30,7 +29,7 @@
         if entry.exchange.take().is_none() {
             return;
         }
-        entry.life += 1;
+        entry.incarnation += 1;
         // Connections of a process that is gone close at once; the order in which they do changes nothing.
         for (node, idle) in entry.idle.drain() {
             let machine = &mut self.machines[machine_of(node)];
@@ -62,9 +61,10 @@
         while let Some(effect) = self.heads[head].exchange.as_mut().and_then(Exchange::effect) {
             match effect {
                 Effect::Send { id, attempt, node, job, .. } => {
-                    let node = if self.plant == Some(Plant::FloodCold) { self.coldest(node) } else { node };
+                    let node =
+                        if self.bug == Some(InjectedBug::FloodCold) { self.coldest(node) } else { node };
                     self.send(head, id, attempt, node, job.ask);
-                    if self.strikes(Plant::SendTwice) {
+                    if self.bug_acts(InjectedBug::SendTwice) {
                         let twin = self.attempts.len() as u64 | 1 << 40;
                         self.auditor.sent(self.now, u64::from(job.ask), twin, node);
                     }
@@ -87,8 +87,8 @@
             && due < entry.armed
         {
             entry.armed = due;
-            let life = entry.life;
-            self.at(due, Event::Head(head as u16, life));
+            let incarnation = entry.incarnation;
+            self.at(due, Event::Head(head as u16, incarnation));
         }
     }
 
@@ -100,29 +100,29 @@
             Answer::Refused(after) => (fate, wait) = (Fate::Refused, after),
             Answer::Failed => {}
         }
-        if self.strikes(Plant::Swallow) {
+        if self.bug_acts(InjectedBug::Swallow) {
             return;
         }
-        if self.strikes(Plant::Mix) {
+        if self.bug_acts(InjectedBug::Mix) {
             ticket = ticket.wrapping_add(1);
         }
-        if self.strikes(Plant::AnswerTwice) {
+        if self.bug_acts(InjectedBug::AnswerTwice) {
             self.auditor.answered(self.now, u64::from(ask), Said::Other);
         }
         self.tries[ask as usize].answer = Some((fate, ticket, wait));
         self.at(self.now + CLIENT_HOP, Event::Answer(ask));
     }
 
-    /// Whether a planted fault strikes now.
-    pub(super) fn strikes(&mut self, plant: Plant) -> bool {
-        if self.plant != Some(plant) {
+    /// Whether an injected bug acts now.
+    pub(super) fn bug_acts(&mut self, bug: InjectedBug) -> bool {
+        if self.bug != Some(bug) {
             return false;
         }
-        self.planted += 1;
-        self.planted.is_multiple_of(NOW_AND_THEN)
+        self.opportunities += 1;
+        self.opportunities.is_multiple_of(ACT_EVERY)
     }
 
-    /// The box that started last, for the planted flood.
+    /// The box that started last, for the injected flood.
     pub(super) fn coldest(&self, node: NodeId) -> NodeId {
         let up = self.machines.iter().enumerate().filter(|(_, one)| one.disk.is_some() && one.came_up > 0);
         up.max_by_key(|(_, one)| one.came_up).map_or(node, |(i, _)| NodeId(i as u64 + 1))
--- a/crates/rehearse/src/simulator/network.rs
+++ b/crates/rehearse/src/simulator/network.rs
@@ -1,8 +1,7 @@
-//! The wires of a [`World`]: attempts on kept and new connections, their way to a box and back, and the
-//! boxes'
-//! own time.
+//! The wires of a [`Simulator`]: attempts on kept and new connections, their way to a box and back, and the
+//! boxes' own time.
 
-use super::{Attempt, CONNECT_FAILED, Event, FULL, OK, Plant, RESET, START, World, machine_of};
+use super::{Attempt, CONNECT_FAILED, Event, FULL, InjectedBug, OK, RESET, START, Simulator, machine_of};
 use crate::auditor::{Proof, Ticket};
 use crate::draw::Home;
 use crate::model::disk::{DiskBox, Job, Verdict};
@@ -10,7 +9,7 @@
 use sedgerun_core::exchange::Ended;
 use sedgerun_decide::api::{Ending, Micros, NodeId, Readiness, RequestId};
 
-impl World<'_> {
+impl Simulator<'_> {
     pub(super) fn ticket(&self, attempt: u32) -> Ticket {
         u64::from(self.attempts[attempt as usize].ask)
     }
@@ -25,7 +24,7 @@
 
     pub(super) fn send(&mut self, head: usize, id: RequestId, number: u8, node: NodeId, ask: u32) {
         let attempt = self.attempts.len() as u32;
-        let (life, hop) = (self.heads[head].life, self.hop(head, node));
+        let (incarnation, hop) = (self.heads[head].incarnation, self.hop(head, node));
         let rest = (self.scenario.idle_s * 0.6e6) as Micros;
         let idle = self.heads[head].idle.entry(node).or_default();
         let now = self.now;
@@ -38,7 +37,7 @@
         let epoch = machine.epoch;
         self.attempts.push(Attempt {
             head: head as u16,
-            life,
+            incarnation,
             id,
             number,
             ask,
@@ -93,7 +92,7 @@
         let arrival = self.arrival(attempt.ask);
         let slot = self.machines[place].slot;
         self.figures.load(now - START, slot);
-        let home = self.home(arrival.home).filter(|_| self.plant != Some(Plant::FloodCold));
+        let home = self.home(arrival.home).filter(|_| self.bug != Some(InjectedBug::FloodCold));
         let elsewhere = home.is_some_and(|home| home != self.drawn.boxes[slot].shard);
         let machine = &mut self.machines[place];
         let Some(disk) = &mut machine.disk else { return };
@@ -162,7 +161,9 @@
         let attempt = self.attempts[index as usize];
         let head = usize::from(attempt.head);
         let key = (attempt.id, attempt.number);
-        if self.heads[head].life != attempt.life || self.heads[head].flights.get(&key) != Some(&index) {
+        if self.heads[head].incarnation != attempt.incarnation
+            || self.heads[head].flights.get(&key) != Some(&index)
+        {
             return;
         }
         self.heads[head].flights.remove(&key);
@@ -172,7 +173,7 @@
         if matches!(ending, Ending::Ok | Ending::Full | Ending::Error) {
             self.heads[head].idle.entry(attempt.node).or_default().push(self.now);
         }
-        if self.plant == Some(Plant::WriteAgain) && ending == Ending::Reset {
+        if self.bug == Some(InjectedBug::WriteAgain) && ending == Ending::Reset {
             let again = u64::from(index) | 1 << 41;
             self.auditor.sent(self.now, u64::from(attempt.ask), again, attempt.node);
             self.auditor.ended(u64::from(attempt.ask), again, Proof::MayHaveRun);
--- a/crates/rehearse/src/simulator/script_steps.rs
+++ b/crates/rehearse/src/simulator/script_steps.rs
@@ -1,13 +1,12 @@
-//! What the script does to a [`World`]: boxes that die, start, drain and are replaced, heads that are
-//! killed, and
-//! the registry that tells of it.
+//! What the script does to a [`Simulator`]: boxes that die, start, drain and are replaced, heads that are
+//! killed, and the registry that tells of it.
 
-use super::{DiskBox, Event, Machine, NodeId, RESET, World, listed};
+use super::{DiskBox, Event, Machine, NodeId, RESET, Simulator, listed};
 use crate::script::Stage;
-use crate::world::Plant;
+use crate::simulator::InjectedBug;
 use sedgerun_decide::api::{Micros, Readiness, Scope};
 
-impl Stage for World<'_> {
+impl Stage for Simulator<'_> {
     fn size(&self) -> (usize, usize) {
         (self.slots.len(), self.heads.len())
     }
@@ -23,7 +22,7 @@
     }
 
     fn start(&mut self, slot: usize) {
-        self.come_up(slot);
+        self.start_process(slot);
     }
 
     fn restart(&mut self, slot: usize) {
@@ -76,7 +75,7 @@
     }
 }
 
-impl World<'_> {
+impl Simulator<'_> {
     pub(super) fn step(&mut self, step: usize) {
         let scenario = self.scenario;
         let step = &scenario.steps[step];
@@ -110,7 +109,7 @@
     }
 
     /// A process starts at a slot, cold: the same box where it has only restarted.
-    fn come_up(&mut self, slot: usize) {
+    fn start_process(&mut self, slot: usize) {
         let place = self.slots[slot];
         if self.machines[place].disk.is_some() {
             return;
@@ -127,13 +126,13 @@
     pub(super) fn replaced(&mut self, place: usize) {
         let slot = self.machines[place].slot;
         if self.machines[place].readiness == Readiness::Ready {
-            return self.come_up(slot);
+            return self.start_process(slot);
         }
         self.end(place);
         self.change(place, Readiness::Gone);
         self.slots[slot] = self.machines.len();
         self.machines.push(Machine::new(slot));
-        self.come_up(slot);
+        self.start_process(slot);
     }
 
     /// All connections to a box end; gives the attempts that were out on them, in their order.
@@ -164,35 +163,35 @@
     }
 
     /// Heads hear what the registry has to tell by now.
-    pub(super) fn tell(&mut self) {
+    pub(super) fn deliver_updates(&mut self) {
         let known: Vec<NodeId> = (1..=self.machines.len() as u64).map(NodeId).collect();
-        for mut news in self.registry.poll(self.now) {
-            if self.heads[news.head].exchange.is_none() {
+        for mut update in self.registry.poll(self.now) {
+            if self.heads[update.head].exchange.is_none() {
                 continue;
             }
-            let told: Vec<(NodeId, Readiness)> =
-                news.nodes.iter().map(|listed| (listed.node, listed.readiness)).collect();
-            match news.scope {
-                Scope::Full => self.auditor.told_all(self.now, news.head, &told, &known),
+            let delivered: Vec<(NodeId, Readiness)> =
+                update.nodes.iter().map(|listed| (listed.node, listed.readiness)).collect();
+            match update.scope {
+                Scope::Full => self.auditor.told_all(self.now, update.head, &delivered, &known),
                 Scope::Delta => {
-                    told.iter().for_each(|(node, readiness)| {
-                        self.auditor.told(self.now, news.head, *node, *readiness);
+                    delivered.iter().for_each(|(node, readiness)| {
+                        self.auditor.told(self.now, update.head, *node, *readiness);
                     });
                 }
                 Scope::Cached | Scope::Failed => {}
             }
-            if self.plant == Some(Plant::IgnoreDrains) {
-                news.nodes.retain(|listed| listed.readiness == Readiness::Ready);
+            if self.bug == Some(InjectedBug::IgnoreDrains) {
+                update.nodes.retain(|listed| listed.readiness == Readiness::Ready);
             }
-            let forget: Vec<NodeId> = told
+            let forget: Vec<NodeId> = delivered
                 .iter()
                 .filter(|(_, readiness)| *readiness == Readiness::Gone)
                 .map(|(node, _)| *node)
                 .collect();
             for node in forget {
-                self.heads[news.head].idle.remove(&node);
+                self.heads[update.head].idle.remove(&node);
             }
-            self.with(news.head, |exchange, now| exchange.list(now, news.scope, news.nodes));
+            self.with(update.head, |exchange, now| exchange.list(now, update.scope, update.nodes));
         }
         self.arm_registry();
     }
--- a/crates/rehearse/src/sockets/mod.rs
+++ b/crates/rehearse/src/sockets/mod.rs
@@ -1,5 +1,5 @@
 //! Sockets: the same scenario against real `sedgerun` processes on loopback, over HTTP and 9P. Boxes run the same
-//! model as in World, in real time; the registry speaks the platform's discovery.
+//! model as in the simulator, in real time; the registry speaks the platform's discovery.
 
 mod boxes;
 mod clients;
@@ -14,7 +14,7 @@
 use crate::model::disk::DiskBox;
 use crate::scenario::Scenario;
 use crate::script::Stage;
-use crate::world::reserves;
+use crate::simulator::reserves;
 use boxes::Host;
 use clients::Clients;
 use heads::Heads;
@@ -135,7 +135,7 @@
 }
 
 /// The parts that a script strikes at.
-struct Plant {
+struct Targets {
     stand: Rc<Stand>,
     hosts: Vec<Rc<Host>>,
     heads: Rc<Heads>,
@@ -191,12 +191,12 @@
             watch(&stand.live());
         }
     };
-    let mut plant = Plant { stand: Rc::clone(&stand), hosts, heads: Rc::clone(&heads), registrar };
+    let mut targets = Targets { stand: Rc::clone(&stand), hosts, heads: Rc::clone(&heads), registrar };
     let struck = async {
         for step in &stand.scenario.steps {
             stand.at(step.at).await;
             stand.figures.borrow_mut().marks.push((step.at, step.label.clone()));
-            step.strike(&mut plant, seed);
+            step.strike(&mut targets, seed);
         }
         playing.await.map_err(|error| format!("clients: {error}"))?;
         let end = stand.instant((stand.scenario.seconds * 1e6) as Micros);
@@ -208,7 +208,7 @@
         () = live => {}
     }
     let cpu = heads.stop().await;
-    for host in &plant.hosts {
+    for host in &targets.hosts {
         host.note_peak();
     }
     let (mut auditor, figures) = (stand.auditor.borrow_mut(), stand.figures.borrow());
@@ -218,7 +218,7 @@
     Ok(result)
 }
 
-impl Plant {
+impl Targets {
     /// A box's process starts after a time, and the list says so.
     fn come_up(&self, slot: usize, after: Duration) {
         let (host, registrar) = (Rc::clone(&self.hosts[slot]), Rc::clone(&self.registrar));
@@ -230,7 +230,7 @@
     }
 }
 
-impl Stage for Plant {
+impl Stage for Targets {
     fn size(&self) -> (usize, usize) {
         (self.hosts.len(), self.heads.count())
     }
--- a/crates/rehearse/src/sockets/registry.rs
+++ b/crates/rehearse/src/sockets/registry.rs
@@ -1,5 +1,5 @@
-//! The registry on sockets: the same model of lags and breaks as in World, behind the platform's discovery, with a
-//! listener for each head.
+//! The registry on sockets: the same model of lags and breaks as in the simulator, behind the platform's discovery,
+//! with a listener for each head.
 
 use super::Stand;
 use super::boxes::Host;
--- a/crates/rehearse/tests/simulator.rs
+++ b/crates/rehearse/tests/simulator.rs
@@ -1,10 +1,10 @@
-//! World as a whole: it plays every shipped scenario the same each time, the auditor sees each planted fault, and
-//! scripts that cannot be read say why.
+//! The simulator as a whole: it plays every shipped scenario the same each time, the auditor sees each injected
+//! fault, and scripts that cannot be read say why.
 
 use sedgerun_rehearse::auditor::Rule;
-use sedgerun_rehearse::experiment::in_world;
+use sedgerun_rehearse::experiment::simulate;
 use sedgerun_rehearse::scenario::Scenario;
-use sedgerun_rehearse::world::Plant;
+use sedgerun_rehearse::simulator::InjectedBug;
 use serde_json::Value;
 use std::collections::BTreeSet;
 use std::thread;
@@ -25,8 +25,8 @@
     Scenario::read(text).unwrap_or_else(|faults| panic!("{faults}"))
 }
 
-fn play(scenario: &Scenario, seed: u64, plant: Option<Plant>) -> Value {
-    in_world(scenario, seed, plant).expect("settings that hold")
+fn play(scenario: &Scenario, seed: u64, bug: Option<InjectedBug>) -> Value {
+    simulate(scenario, seed, bug).expect("settings that hold")
 }
 
 fn broken(result: &Value) -> BTreeSet<String> {
@@ -56,37 +56,37 @@
 }
 
 #[test]
-fn each_planted_fault_is_caught_and_named() {
+fn each_injected_bug_is_caught_and_named() {
     let rough = scenario(
         "(scenario rough (seconds 15) (load 0.5) (at 3 (cold (boxes 1))) (between 5 9 (drain (boxes 2)))
            (at 7 (die (boxes 3))) (at 10 (replace (boxes 4))) (at 12 (die (boxes 5))))",
     );
     assert_eq!(play(&rough, 3, None)["broken"], 0, "without one it is clean");
     let caught = [
-        (Plant::AnswerTwice, Rule::TwoAnswers),
-        (Plant::Swallow, Rule::NoAnswer),
-        (Plant::SendTwice, Rule::TwoAttempts),
-        (Plant::WriteAgain, Rule::WriteAgain),
-        (Plant::IgnoreDrains, Rule::AfterDrain),
-        (Plant::FloodCold, Rule::Tipped),
-        (Plant::Mix, Rule::Spoilt),
-        (Plant::Starve, Rule::UnderReserve),
+        (InjectedBug::AnswerTwice, Rule::TwoAnswers),
+        (InjectedBug::Swallow, Rule::NoAnswer),
+        (InjectedBug::SendTwice, Rule::TwoAttempts),
+        (InjectedBug::WriteAgain, Rule::WriteAgain),
+        (InjectedBug::IgnoreDrains, Rule::AfterDrain),
+        (InjectedBug::FloodCold, Rule::Tipped),
+        (InjectedBug::Mix, Rule::Spoilt),
+        (InjectedBug::Starve, Rule::UnderReserve),
     ];
-    assert_eq!(caught.len(), Plant::ALL.len());
-    for (plant, rule) in caught {
+    assert_eq!(caught.len(), InjectedBug::ALL.len());
+    for (bug, rule) in caught {
         // Volume 0 is of the smallest plan: it is starved where its plan has a reserve worth judging.
         let mut scenario = rough.clone();
-        if plant == Plant::Starve {
+        if bug == InjectedBug::Starve {
             scenario.set("plan.basic.size", &["4"]).expect("a size");
             scenario.set("traffic.volume-shards", &["1"]).expect("a count");
         }
-        let found = broken(&play(&scenario, 3, Some(plant)));
-        assert!(found.contains(rule.name()), "{plant:?} is seen as {found:?}");
+        let found = broken(&play(&scenario, 3, Some(bug)));
+        assert!(found.contains(rule.name()), "{bug:?} is seen as {found:?}");
     }
 }
 
 #[test]
-fn a_script_that_kills_all_boxes_or_strikes_at_its_end_leaves_nobody_without_an_answer() {
+fn a_script_that_kills_all_boxes_or_acts_at_its_end_leaves_nobody_without_an_answer() {
     let all = scenario("(scenario all (seconds 10) (load 0.5) (at 4 (die (boxes all))))");
     let result = play(&all, 1, None);
     assert_eq!(result["broken"], 0, "{}", result["told"]);
--- a/crates/rehearse/tests/sockets.rs
+++ b/crates/rehearse/tests/sockets.rs
@@ -1,7 +1,7 @@
 //! Sockets as a whole: real heads over HTTP and 9P, a cold box and a head that is killed; no rule breaks, and
-//! service is World's.
+//! service is the simulator's.
 
-use sedgerun_rehearse::experiment::in_world;
+use sedgerun_rehearse::experiment::simulate;
 use sedgerun_rehearse::scenario::Scenario;
 use sedgerun_rehearse::sockets::play;
 use std::path::Path;
@@ -21,7 +21,7 @@
     let scenario = scenario.unwrap_or_else(|faults| panic!("{faults}"));
     let result = play(&scenario, 1, program(), &|_| ()).expect("a result");
     assert_eq!(result["broken"], 0, "{}", result["told"]);
-    let due = in_world(&scenario, 1, None).expect("a result")["requests"].as_u64();
+    let due = simulate(&scenario, 1, None).expect("a result")["requests"].as_u64();
     assert_eq!(result["requests"].as_u64(), due, "every request of the morning came to an end");
     let last = |slot: usize| {
         result["boxes"][slot].as_array().expect("a list").iter().skip(4).filter_map(|n| n.as_u64())
