--- a/crates/rehearse/src/scale/hollow.rs
+++ b/crates/rehearse/src/scale/hollow.rs
@@ -112,7 +112,7 @@
         let node = Rc::new(RefCell::new(Some(node)));
         let (moves, discovery_at) = watch::channel(config.discovery);
         let mut discovery = Discovery::new(Rc::clone(&hub), Rc::clone(&config));
-        discovery.take_known();
+        discovery.take_known(None);
         let tenants = Rc::new(RefCell::new(config.operator.tenants.clone()));
         let tasks = [
             spawn_local(accept(listener, self.surroundings.network.clone(), Rc::clone(&node))),
