--- a/crates/head/src/fleet/change.rs
+++ b/crates/head/src/fleet/change.rs
@@ -26,7 +26,7 @@
 const MAX_ENTRIES: usize = 2;
 
 fn no_majority() -> String {
-    "no majority of the keepers answers".to_owned()
+    "no majority of the voters answers".to_owned()
 }
 
 type Written =
--- a/crates/head/src/fleet/client.rs
+++ b/crates/head/src/fleet/client.rs
@@ -78,7 +78,7 @@
     let leader = asked.iter().filter_map(|(_, said)| said.as_ref().ok()).find(|said| said.role == "leader");
     let leader = leader.ok_or("no leader answers")?;
     let voter = leader.voters.iter().find(|voter| voter.votes && voter.head == lost);
-    let store = voter.ok_or(format!("{lost} does not keep"))?.store;
+    let store = voter.ok_or(format!("{lost} does not vote"))?.store;
     make(settings, head, Command::DeclareDead(store))
 }
 
@@ -200,7 +200,7 @@
     })?;
     if asked.iter().all(|(_, said)| said.is_err()) {
         let all = asked.iter().filter_map(|(name, said)| Some(format!("{name}: {}", said.as_ref().err()?)));
-        return Err(format!("no keeper answers: {}", all.collect::<Vec<String>>().join("; ")));
+        return Err(format!("no voter answers: {}", all.collect::<Vec<String>>().join("; ")));
     }
     Ok(asked)
 }
--- a/crates/head/src/fleet/recovery.rs
+++ b/crates/head/src/fleet/recovery.rs
@@ -140,9 +140,9 @@
     }
 
     async fn campaign(&self) {
-        tracing::info!("fleet: no leader is heard; standing for election");
+        tracing::info!("fleet: no leader is heard; campaigning");
         if let Err(error) = self.raft.trigger().elect().await {
-            tracing::warn!("fleet: cannot stand for election: {error}");
+            tracing::warn!("fleet: cannot campaign: {error}");
         }
     }
 }
--- a/crates/head/src/fleet/repair.rs
+++ b/crates/head/src/fleet/repair.rs
@@ -35,7 +35,7 @@
             match self.repair_once(since).await {
                 Ok(()) => said.clear(),
                 Err(what) if what != said => {
-                    tracing::warn!("fleet: the keepers stay as they are for now: {what}");
+                    tracing::warn!("fleet: the voters are not repaired for now: {what}");
                     said = what;
                 }
                 Err(_) => {}
@@ -92,27 +92,27 @@
         };
         match step {
             Step::AddLearner(Candidate { store, head, address, zone }) => {
-                tracing::warn!("fleet: {head} is brought up to date, to keep");
+                tracing::warn!("fleet: {head} is brought up to date, to become a voter");
                 let address = VoterAddress { head, address, zone };
                 self.change_membership(ChangeMembers::AddNodes(BTreeMap::from([(store, address)]))).await?;
             }
             Step::Replace(out, into) => {
-                tracing::warn!("fleet: {} keeps in the place of {}", name(into), name(out));
+                tracing::warn!("fleet: {} votes in the place of {}", name(into), name(out));
                 self.change_membership(swapped(Some(out), Some(into))).await?;
                 self.repairs.fetch_add(1, Ordering::Relaxed);
             }
             Step::Promote(into) => {
-                tracing::warn!("fleet: {} keeps, too", name(into));
+                tracing::warn!("fleet: {} votes, too", name(into));
                 self.change_membership(swapped(None, Some(into))).await?;
                 self.repairs.fetch_add(1, Ordering::Relaxed);
             }
             Step::Remove(out) if voters.contains(&out) => {
-                tracing::warn!("fleet: {} keeps no more", name(out));
+                tracing::warn!("fleet: {} votes no more", name(out));
                 self.change_membership(swapped(Some(out), None)).await?;
                 self.repairs.fetch_add(1, Ordering::Relaxed);
             }
             Step::Remove(out) => {
-                tracing::warn!("fleet: {} is not to keep after all", name(out));
+                tracing::warn!("fleet: {} is not to become a voter after all", name(out));
                 self.change_membership(ChangeMembers::RemoveNodes(BTreeSet::from([out]))).await?;
             }
         }
@@ -123,7 +123,7 @@
         match tokio::time::timeout(CHANGE_TIMEOUT, self.raft.change_membership(change, false)).await {
             Ok(Ok(_)) => Ok(()),
             Ok(Err(error)) => Err(error.to_string()),
-            Err(_) => Err("a change of keepers is not settled".into()),
+            Err(_) => Err("a change of voters is not settled".into()),
         }
     }
 
