--- a/crates/head/src/fleet/link.rs
+++ b/crates/head/src/fleet/link.rs
@@ -12,6 +12,7 @@
 };
 use openraft::{RaftNetwork, RaftNetworkFactory};
 use sedgerun_fleet::election::Millis;
+use sedgerun_fleet::follow::UpdateReply;
 use sedgerun_fleet::greeting::{Greeting, Refusal, StoreId, admit};
 use sedgerun_fleet::record::{self, RecordType};
 use sedgerun_fleet::watermark::{Incarnation, Watermark, Watermarks};
@@ -202,6 +203,11 @@
             };
             send(&mut stream, RecordType::Call, call).await?;
             let reply = receive(&mut stream, RecordType::Reply).await?;
+            // Guards against followers that are sent on and keep their connections: a head takes so many callers and
+            // no more, and those that are sent on would leave no room for others to ask it.
+            if matches!(reply, Reply::Update(_, UpdateReply::Full { .. })) {
+                return Ok(reply);
+            }
             let mut idle = idle();
             let kept = idle.entry(to).or_default();
             if kept.len() < MAX_IDLE {
--- a/crates/rehearse/tests/scale.rs
+++ b/crates/rehearse/tests/scale.rs
@@ -143,6 +143,33 @@
     }
 }
 
+/// Followers that were sent on once kept their connections, and filled the places of those that had yet to ask.
+#[test]
+fn followers_that_are_sent_on_leave_no_connection_at_a_voter() {
+    let folder = Folder::new("redirected");
+    let file = folder.file("results.json");
+    let out = file.display().to_string();
+    let output = run(&[
+        "--heads",
+        "200",
+        "--whole",
+        "1",
+        "--backends",
+        "10",
+        "--changes",
+        "0",
+        "--steady-only",
+        "--out",
+        &out,
+    ]);
+    assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
+    let point = &read(&file).points[0];
+    assert_eq!(point.reached, 200);
+    // Its followers, the other voters and discovery; what a head of one voter holds by itself; and some spare.
+    let descriptors = cost(point, Role::Voter).descriptors;
+    assert!(descriptors.most <= FAN_OUT as f64 + 8.0 + 24.0 + 16.0, "{descriptors:?}");
+}
+
 #[test]
 fn arguments_that_cannot_be_used_are_refused_in_one_line() {
     let folder = Folder::new("refused");
