--- a/crates/rehearse/src/capacity/estimate.rs
+++ b/crates/rehearse/src/capacity/estimate.rs
@@ -32,18 +32,25 @@
 
 impl Estimate {
     /// The mean at the target.
-    pub fn mean_at_target(&self) -> Option<f64> {
-        self.mean.as_ref().ok().map(|fit| fit.at(&self.target))
+    ///
+    /// # Errors
+    /// [`NoFit`] where there is no model, or it does not reach the target.
+    pub fn mean_at_target(&self) -> Result<f64, NoFit> {
+        at_target(&self.mean, &self.target)
     }
 
-    /// The largest at the target. A budget holds for every member, so this is what is compared with it.
-    pub fn most_at_target(&self) -> Option<f64> {
-        self.most.as_ref().ok().map(|fit| fit.at(&self.target))
+    /// The largest at the target, no less than the mean: the two models are fitted apart. A budget holds for every
+    /// member, so this is what is compared with it.
+    ///
+    /// # Errors
+    /// [`NoFit`] where there is no model, or it does not reach the target.
+    pub fn most_at_target(&self) -> Result<f64, NoFit> {
+        Ok(at_target(&self.most, &self.target)?.max(self.mean_at_target()?))
     }
 
     /// The largest at the target as a part of the budget.
     pub fn ratio(&self) -> Option<f64> {
-        Some(self.most_at_target()? / self.budget?)
+        Some(self.most_at_target().ok()? / self.budget?)
     }
 
     /// The smallest factor of the target size (heads, backends and changes together) at which the budget is exceeded,
@@ -56,6 +63,7 @@
                 heads: target.heads * factor,
                 backends: target.backends * factor,
                 changes: target.changes * factor,
+                process_share: target.process_share,
             })
         };
         let factors = std::iter::successors(Some(0.01), |factor| Some(factor * FACTOR_STEP));
@@ -64,6 +72,11 @@
     }
 }
 
+fn at_target(fit: &Result<Fit, NoFit>, target: &Size) -> Result<f64, NoFit> {
+    let value = fit.as_ref().map_err(|reason| *reason)?.at(target);
+    if value < 0.0 { Err(NoFit::BelowZero) } else { Ok(value) }
+}
+
 /// The place between two where a condition begins to hold.
 fn bisect(mut below: f64, mut above: f64, holds: impl Fn(f64) -> bool) -> f64 {
     const STEPS: usize = 40;
@@ -88,11 +101,13 @@
 fn estimate(points: &[&Point], role: Role, quantity: Quantity, target: &Target) -> Estimate {
     let measured: Vec<(&Point, &Cost)> =
         points.iter().filter_map(|point| Some((*point, point.roles.get(&role)?))).collect();
+    let is_shared = role == Role::HollowHead && quantity.is_shared_by_hollow_heads();
     let sample = |(point, cost): &(&Point, &Cost), value: f64| Sample {
         size: Size {
             heads: heads_carried(role, point.heads as f64, cost.count as f64),
             backends: point.backends as f64,
             changes: point.changes_per_second,
+            process_share: if is_shared { 1.0 / cost.count as f64 } else { 0.0 },
         },
         value,
     };
@@ -108,6 +123,8 @@
             heads: heads_carried(role, target.heads, target.relays),
             backends: target.backends,
             changes: target.changes_per_second(),
+            // A head of the target shares its process with nobody, and the control code alone is what is asked for.
+            process_share: 0.0,
         },
         budget: budget(role, target).and_then(|budget| quantity.allowed(&budget)),
     }
--- a/crates/rehearse/src/capacity/quantity.rs
+++ b/crates/rehearse/src/capacity/quantity.rs
@@ -85,6 +85,11 @@
         }
     }
 
+    /// Whether a hollow head's figure is an even part of its process, of which the fixed cost is a part.
+    pub fn is_shared_by_hollow_heads(self) -> bool {
+        matches!(self, Quantity::Processor | Quantity::Memory | Quantity::Descriptors)
+    }
+
     /// What a budget allows of it.
     pub fn allowed(self, budget: &Budget) -> Option<f64> {
         match self {
--- a/crates/rehearse/src/capacity/regression.rs
+++ b/crates/rehearse/src/capacity/regression.rs
@@ -1,7 +1,8 @@
 //! Multiple linear regression of one quantity on the size of the fleet.
 //!
-//! The model is `constant + a * heads + b * changes + c * heads * changes + d * backends`. A regressor is left out where
-//! the measurements cannot tell it from those before it, or would leave no degree of freedom. Noise here is about a part
+//! The model is `constant + a * heads + b * changes + c * heads * changes + d * backends`, and for what is measured as an
+//! even part of a shared process `+ e / members`. A regressor is left out where the measurements cannot tell it from those
+//! before it, or would leave no degree of freedom. Noise here is about a part
 //! of the figure rather than an amount, and loads differ by a factor of a hundred, so that the squares of the *relative*
 //! residuals are made least: ordinary least squares would fit the largest loads alone.
 
@@ -23,6 +24,9 @@
     pub backends: f64,
     /// Changes of the store a second.
     pub changes: f64,
+    /// The part of a shared process's fixed cost that falls to one member, as 1 over the members; 0 where the figure is
+    /// a process's own.
+    pub process_share: f64,
 }
 
 /// One measurement.
@@ -47,16 +51,19 @@
     HeadsTimesChanges,
     /// Backends.
     Backends,
+    /// The fixed cost of the processes that members share.
+    ProcessShare,
 }
 
 impl Regressor {
     /// In the order in which they are taken into a model.
-    pub const ALL: [Regressor; 5] = [
+    pub const ALL: [Regressor; 6] = [
         Regressor::Constant,
         Regressor::Heads,
         Regressor::Changes,
         Regressor::HeadsTimesChanges,
         Regressor::Backends,
+        Regressor::ProcessShare,
     ];
 
     /// Its value at a size.
@@ -67,6 +74,7 @@
             Regressor::Changes => size.changes,
             Regressor::HeadsTimesChanges => size.heads * size.changes,
             Regressor::Backends => size.backends,
+            Regressor::ProcessShare => size.process_share,
         }
     }
 }
@@ -80,6 +88,8 @@
     TooFewSizes(usize),
     /// The least squares have no solution.
     Singular,
+    /// The model falls below zero at the target: it does not reach that far.
+    BelowZero,
 }
 
 /// A fitted model.
--- a/crates/rehearse/src/capacity/tables/comparison.rs
+++ b/crates/rehearse/src/capacity/tables/comparison.rs
@@ -27,10 +27,7 @@
     let pairs = before.iter().zip(after).filter(|(before, after)| !unmeasured(before) || !unmeasured(after));
     let rows: Vec<Vec<String>> = pairs
         .map(|(before, after)| {
-            let figure = |estimate: &Estimate| match &estimate.most {
-                Ok(_) => optional(estimate.most_at_target(), "-"),
-                Err(reason) => no_fit(*reason),
-            };
+            let figure = |estimate: &Estimate| estimate.most_at_target().map_or_else(no_fit, number);
             let change = change(before, after);
             vec![
                 role_name(after.role).to_owned(),
@@ -49,7 +46,7 @@
 }
 
 fn change(before: &Estimate, after: &Estimate) -> Option<f64> {
-    let (before, after) = (before.most_at_target()?, after.most_at_target()?);
+    let (before, after) = (before.most_at_target().ok()?, after.most_at_target().ok()?);
     (before > 0.0).then_some(after / before)
 }
 
--- a/crates/rehearse/src/capacity/tables/roles.rs
+++ b/crates/rehearse/src/capacity/tables/roles.rs
@@ -38,10 +38,9 @@
 
 fn cost_cell(estimate: Option<&Estimate>) -> String {
     let Some(estimate) = estimate else { return NOT_RUN.to_owned() };
-    match (&estimate.mean, estimate.mean_at_target(), estimate.most_at_target()) {
-        (Err(reason), ..) => no_fit(*reason),
-        (_, Some(mean), Some(most)) => format!("{} ({})", number(mean), number(most)),
-        _ => NOT_RUN.to_owned(),
+    match (estimate.mean_at_target(), estimate.most_at_target()) {
+        (Ok(mean), Ok(most)) => format!("{} ({})", number(mean), number(most)),
+        (Err(reason), _) | (_, Err(reason)) => no_fit(reason),
     }
 }
 
@@ -51,6 +50,7 @@
         NoFit::NotMeasured => NOT_RUN.to_owned(),
         NoFit::TooFewSizes(sizes) => format!("no figure: {sizes} sizes of 4"),
         NoFit::Singular => "no figure: no solution".to_owned(),
+        NoFit::BelowZero => "no figure: below 0".to_owned(),
     }
 }
 
@@ -72,12 +72,11 @@
         let ratio = estimate.ratio();
         let mark = if ratio.is_some_and(|ratio| ratio > 1.0) { OVER } else { "" };
         let most = estimate.most.as_ref();
-        let none = || most.err().map_or_else(String::new, |reason| no_fit(*reason));
         vec![
             role_name(estimate.role).to_owned(),
             estimate.quantity.name().to_owned(),
-            optional(estimate.mean_at_target(), "-"),
-            estimate.most_at_target().map_or_else(none, number),
+            estimate.mean_at_target().map_or_else(no_fit, number),
+            estimate.most_at_target().map_or_else(no_fit, number),
             budget_cell(estimate),
             optional(ratio, "-"),
             mark.to_owned(),
@@ -147,6 +146,7 @@
         "per change/s",
         "per 1,000 heads and change/s",
         "per 1,000 backends",
+        "process / members",
         "root mean square residual",
         "largest relative residual",
         "sizes",
@@ -172,6 +172,7 @@
         scaled(Regressor::Changes, 1.0),
         scaled(Regressor::HeadsTimesChanges, SLOPE_UNIT),
         scaled(Regressor::Backends, SLOPE_UNIT),
+        scaled(Regressor::ProcessShare, 1.0),
         number(fit.root_mean_square),
         percent(fit.largest_relative),
         fit.sizes.to_string(),
--- a/crates/rehearse/tests/capacity.rs
+++ b/crates/rehearse/tests/capacity.rs
@@ -173,7 +173,7 @@
 }
 
 fn sample(heads: f64, backends: f64, changes: f64, value: f64) -> Sample {
-    Sample { size: Size { heads, backends, changes }, value }
+    Sample { size: Size { heads, backends, changes, process_share: 0.0 }, value }
 }
 
 /// Several sizes of everything, with the figure of a model.
@@ -208,7 +208,7 @@
     }
     assert!(fit.largest_relative < 1e-9 && fit.root_mean_square < 1e-6, "{fit:?}");
     assert_eq!((fit.sizes, fit.samples), (4, 36));
-    let target = Size { heads: 6200.0, backends: 7400.0, changes: 0.09375 };
+    let target = Size { heads: 6200.0, backends: 7400.0, changes: 0.09375, process_share: 0.0 };
     let wanted = model(target.heads, target.backends, target.changes);
     assert!((fit.at(&target) / wanted - 1.0).abs() < 1e-6);
 }
@@ -233,7 +233,7 @@
             }
         }
         // Noise at a hundred times the load must not drown the idle figure.
-        let idle = fit.at(&Size { heads: 800.0, backends: 1000.0, changes: 0.0 });
+        let idle = fit.at(&Size { heads: 800.0, backends: 1000.0, changes: 0.0, process_share: 0.0 });
         assert!((idle / 516.0 - 1.0).abs() < 0.1, "seed {seed}: {idle}");
         assert!(fit.largest_relative < 0.25 && fit.largest_relative > 0.01, "{fit:?}");
     }
@@ -295,6 +295,40 @@
     assert!(tables.contains("no results of the set `before`"), "{tables}");
 }
 
+#[test]
+fn the_fixed_cost_of_shared_processes_is_not_taken_for_that_of_a_hollow_head() {
+    let mut document = results(&SIZES, 1.0);
+    for point in &mut document.points {
+        let hollow = point.roles.get_mut(&Role::HollowHead).expect("hollow heads");
+        // Processes of 80 MB in all, and 50 kB for each head.
+        let share = 50_000.0 + 80e6 / hollow.count as f64;
+        hollow.memory_bytes = spread(share, share);
+    }
+    let scratch = Scratch::new();
+    scratch.put_results("after/a.json", &document);
+    let tables = text(&scratch.capacity(&[]).stdout);
+    let memory = row(&tables, "budgets after", &["head, hollow", "memory, bytes"]);
+    assert_eq!(memory[2..5], ["50,000", "50,000", "256,000,000"]);
+    let model = row(&tables, "fits after", &["head, hollow", "memory, bytes", "mean"]);
+    assert_eq!(model[8], "80,000,000");
+}
+
+#[test]
+fn a_model_that_falls_below_zero_gives_no_figure() {
+    let mut document = results(&SIZES, 1.0);
+    for point in &mut document.points {
+        let voter = point.roles.get_mut(&Role::Voter).expect("voters");
+        let falling = 7000.0 - 2.0 * point.heads as f64;
+        (voter.bytes_in, voter.bytes_out) = (spread(falling, falling), spread(0.0, 0.0));
+    }
+    let scratch = Scratch::new();
+    scratch.put_results("after/a.json", &document);
+    let tables = text(&scratch.capacity(&[]).stdout);
+    assert_eq!(row(&tables, "roles after", &["voter"])[4], "no figure: below 0");
+    let budget = row(&tables, "budgets after", &["voter", "bytes/s in and out"]);
+    assert_eq!(budget[2..7], ["no figure: below 0", "no figure: below 0", "125,000,000 (assumed)", "-", ""]);
+}
+
 #[test]
 fn before_and_after_are_set_side_by_side() {
     let scratch = Scratch::new();
