--- a/crates/head/src/front/http.rs
+++ b/crates/head/src/front/http.rs
@@ -235,8 +235,20 @@
     }
 
     /// Makes room for one more: the connection that has said nothing for the longest goes, or the one that
-    /// has been idle for the longest. Whether there is room.
-    fn give_way(&self) -> bool {
+    /// has been idle for the longest. Whether there is room, once its descriptor is free.
+    async fn give_way(&self) -> bool {
+        let Some(task) = self.remove_longest_idle() else { return false };
+        task.abort();
+        // Guards against a burst: an aborted task lets go of its socket only in a turn of its own, and until then
+        // each new client would take a descriptor more than there are to give.
+        while !task.is_finished() {
+            tokio::task::yield_now().await;
+        }
+        true
+    }
+
+    /// Takes the connection that is to give way off the open ones: its task.
+    fn remove_longest_idle(&self) -> Option<AbortHandle> {
         let mut open = self.open.borrow_mut();
         let free = open.iter().filter(|(_, (state, _))| {
             let quiet = state.touched.get().elapsed() >= GIVE_WAY_TIME;
@@ -247,8 +259,7 @@
         });
         let first = free.min_by_key(|(_, (state, _))| (state.spoken.get(), state.touched.get()));
         let first = first.map(|(number, _)| *number);
-        // Guards against one that gives way to all of a burst: its task ends only after their turn.
-        first.and_then(|number| open.remove(&number)).inspect(|(_, task)| task.abort()).is_some()
+        first.and_then(|number| open.remove(&number)).map(|(_, task)| task)
     }
 }
 
@@ -305,7 +316,7 @@
             let descriptors = self.hub.backs().descriptors();
             let short = descriptors.left() <= bounds.boxes;
             if (short || count >= bounds.clients)
-                && !self.connections.give_way()
+                && !self.connections.give_way().await
                 && (short || count >= bounds.most_clients)
             {
                 continue;
--- a/crates/head/tests/descriptors.rs
+++ b/crates/head/tests/descriptors.rs
@@ -114,3 +114,32 @@
     drop(resting);
     asking.into_iter().for_each(|asking| asking.join().expect("a client"));
 }
+
+/// Idle clients fill the head, and more come at once than it holds back: each takes the place of one, and none a
+/// descriptor beside.
+#[test]
+fn a_burst_of_clients_takes_no_more_descriptors_than_give_way() {
+    const BURST: usize = 40;
+    const BURSTS: usize = 10;
+    let discovery = Discovery::start(vec![]);
+    let mut config = config(discovery.address);
+    config["limits"]["sockets"] = json!(LIMIT);
+    let program = Program::start(&config, None);
+    let mut idle: Vec<_> = (0..LIMIT).filter_map(|_| TcpStream::connect(program.http).ok()).collect();
+    let mut most = 0;
+    for _ in 0..BURSTS {
+        // All of them have been idle for long enough to give way.
+        thread::sleep(Duration::from_millis(200));
+        assert!(program.descriptors() > LIMIT / 2, "{}: the test shows nothing", program.descriptors());
+        program.stand_still(true);
+        let burst: Vec<_> = (0..BURST).filter_map(|_| TcpStream::connect(program.http).ok()).collect();
+        assert_eq!(burst.len(), BURST);
+        program.stand_still(false);
+        let begun = Instant::now();
+        while begun.elapsed() < Duration::from_millis(200) {
+            most = most.max(program.descriptors());
+        }
+        idle.extend(burst);
+    }
+    assert!(most + 4 <= LIMIT, "no descriptor is held back: {most} of {LIMIT}");
+}
