--- a/crates/rehearse/src/scale/hollow.rs
+++ b/crates/rehearse/src/scale/hollow.rs
@@ -107,12 +107,14 @@
         let dial = Arc::new(self.surroundings.network.clone());
         let node = Node::start(self.settings(address), &self.name, address, store, dial).await?;
         let fleet = Rc::new(Fleet::of(&node));
-        let config = Rc::new(self.config()?);
+        let mut config = self.config()?;
+        let known = config.known.take();
+        let config = Rc::new(config);
         let hub = new_hub(&config);
         let node = Rc::new(RefCell::new(Some(node)));
         let (moves, discovery_at) = watch::channel(config.discovery);
         let mut discovery = Discovery::new(Rc::clone(&hub), Rc::clone(&config));
-        discovery.take_known(None);
+        discovery.take_known(known);
         let tenants = Rc::new(RefCell::new(config.operator.tenants.clone()));
         let tasks = [
             spawn_local(accept(listener, self.surroundings.network.clone(), Rc::clone(&node))),
