--- /dev/null
+++ b/crates/fleet/src/follow/followers.rs
@@ -0,0 +1,162 @@
+//! The followers that a head serves.
+
+use super::{FOLLOWER_TIMEOUT_MS, MAX_FOLLOWERS};
+use crate::election::Millis;
+use crate::peer::{Downstream, Peer};
+use crate::relay::{FollowerRole, MAX_RELAYS};
+use crate::store::StoreId;
+use crate::subscribe::{MAX_SAMPLE, Summary};
+use std::collections::BTreeMap;
+
+/// Followers that one head reports in its status at the most, direct and indirect.
+const MAX_SUBTREE: usize = 512;
+/// Between two looks for followers that have gone, in milliseconds.
+const SWEEP_INTERVAL_MS: Millis = 500;
+
+/// Whether a follower is served.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Admission {
+    /// It is served.
+    Admitted,
+    /// It is to ask a relay.
+    RedirectedToRelays,
+    /// This head serves enough followers already; the follower is redirected to those.
+    Full,
+    /// Another store follows this head under the same name.
+    DuplicateName,
+}
+
+/// A follower that polls.
+#[derive(Clone, Debug)]
+pub struct Asker {
+    /// Who it is, and what it holds.
+    pub downstream: Downstream,
+    /// What it is set aside for.
+    pub role: FollowerRole,
+    /// It is to be served though relays are known.
+    pub bypass_relays: bool,
+    /// Its subtree, where it sent that.
+    pub summary: Option<Summary>,
+}
+
+#[derive(Debug)]
+struct Known {
+    seen_at: Millis,
+    downstream: Downstream,
+    role: FollowerRole,
+    summary: Summary,
+}
+
+/// The followers of this head.
+#[derive(Debug)]
+pub struct Followers {
+    by_store: BTreeMap<StoreId, Known>,
+    /// Ordinary heads that are served at once; relays come on top.
+    capacity: usize,
+    /// This head is a relay: it sends nobody on to other relays while it has room.
+    is_relay: bool,
+    swept_at: Millis,
+}
+
+impl Default for Followers {
+    fn default() -> Followers {
+        Followers::new(FollowerRole::Head, MAX_FOLLOWERS)
+    }
+}
+
+impl Followers {
+    /// No followers yet, of a head that serves so many at once.
+    pub fn new(role: FollowerRole, capacity: usize) -> Followers {
+        let is_relay = role == FollowerRole::Relay;
+        Followers { by_store: BTreeMap::new(), capacity, is_relay, swept_at: 0 }
+    }
+
+    fn sweep(&mut self, now: Millis) {
+        self.by_store.retain(|_, known| now < known.seen_at + FOLLOWER_TIMEOUT_MS);
+        self.swept_at = now;
+    }
+
+    fn has_room(&self, role: FollowerRole) -> bool {
+        let served = self.by_store.values().filter(|known| known.role == role).count();
+        let capacity = match role {
+            FollowerRole::Head => self.capacity,
+            FollowerRole::Relay => MAX_RELAYS,
+        };
+        served < capacity
+    }
+
+    /// A follower polls; `relays_known` says whether this head knows live relays.
+    pub fn admit(&mut self, now: Millis, asker: Asker, relays_known: bool) -> Admission {
+        let Asker { downstream, role, bypass_relays, summary } = asker;
+        let is_known = self.by_store.contains_key(&downstream.store);
+        // A head that follows this one already hears of the relays and moves by itself, in its own time.
+        let is_for_relays = role == FollowerRole::Head && !bypass_relays && !is_known;
+        if is_for_relays && relays_known && !self.is_relay {
+            return Admission::RedirectedToRelays;
+        }
+        if !is_known || now >= self.swept_at + SWEEP_INTERVAL_MS {
+            self.sweep(now);
+        }
+        let known = self.by_store.get(&downstream.store);
+        if known.is_none() {
+            if self.by_store.values().any(|known| known.downstream.at.head == downstream.at.head) {
+                return Admission::DuplicateName;
+            }
+            if !self.has_room(role) {
+                return Admission::Full;
+            }
+        }
+        let summary = summary.map(Summary::bounded);
+        let summary = summary.or(known.map(|known| known.summary.clone())).unwrap_or_default();
+        self.by_store.insert(downstream.store, Known { seen_at: now, downstream, role, summary });
+        Admission::Admitted
+    }
+
+    fn live(&self, now: Millis) -> impl Iterator<Item = &Known> {
+        self.by_store.values().filter(move |known| now < known.seen_at + FOLLOWER_TIMEOUT_MS)
+    }
+
+    /// The direct followers, which may have room.
+    pub fn peers(&self) -> Vec<Peer> {
+        self.by_store.values().map(|known| known.downstream.at.clone()).collect()
+    }
+
+    /// How many followers are served directly.
+    pub fn count(&self, now: Millis) -> usize {
+        self.live(now).count()
+    }
+
+    /// The followers of this head as far as they are known by name, direct and indirect.
+    pub fn subtree(&self, now: Millis) -> Vec<Downstream> {
+        let all =
+            self.live(now).flat_map(|known| [&known.downstream].into_iter().chain(&known.summary.sample));
+        all.take(MAX_SUBTREE).cloned().collect()
+    }
+
+    /// The summary of all followers of this head, direct and indirect.
+    pub fn summary(&self, now: Millis) -> Summary {
+        let (mut heads, mut lowest_version) = (0u32, u64::MAX);
+        for known in self.live(now) {
+            heads = heads.saturating_add(1).saturating_add(known.summary.heads);
+            lowest_version = lowest_version.min(known.downstream.version);
+            if known.summary.heads > 0 {
+                lowest_version = lowest_version.min(known.summary.lowest_version);
+            }
+        }
+        let lowest_version = if heads == 0 { 0 } else { lowest_version };
+        Summary { heads, lowest_version, sample: self.sample(now) }
+    }
+
+    /// Ordinary heads of the subtree, spread evenly over it; relays are not to vote, so nobody need know them here.
+    fn sample(&self, now: Millis) -> Vec<Downstream> {
+        let all: Vec<&Downstream> = self
+            .live(now)
+            .flat_map(|known| {
+                let itself = (known.role == FollowerRole::Head).then_some(&known.downstream);
+                itself.into_iter().chain(&known.summary.sample)
+            })
+            .collect();
+        let step = all.len().div_ceil(MAX_SAMPLE).max(1);
+        all.into_iter().step_by(step).take(MAX_SAMPLE).cloned().collect()
+    }
+}
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -5,14 +5,22 @@
 //! head to head; [`record`] wraps whatever goes to a disk or to another head in a format version and a checksum;
 //! [`store`] is the identity of a store, [`greeting`] decides whether two heads may speak, [`watermark`] whether a
 //! store is what it was, [`election`] when a voter campaigns, [`repair`] which heads vote, [`follow`] which upstream
-//! a follower polls.
+//! a follower polls, [`relay`] which followers are set aside to serve many others, [`subscribe`] what a follower and
+//! its upstream send each other, [`upstream`] what a head answers, [`transfer_slots`] how many large transfers it has
+//! going on at once.
 
+pub mod digest;
 pub mod election;
 pub mod follow;
 pub mod greeting;
+pub mod peer;
 pub mod record;
+pub mod relay;
 pub mod repair;
 pub mod state;
 pub mod store;
+pub mod subscribe;
+pub mod transfer_slots;
+pub mod upstream;
 pub mod view;
 pub mod watermark;
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -104,6 +104,13 @@
     pub restart: bool,
 }
 
+impl Chunk {
+    /// About how many bytes it takes.
+    pub fn size(&self) -> usize {
+        self.objects.iter().map(VersionedObject::size).sum()
+    }
+}
+
 /// What heads read of the state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct View {
--- /dev/null
+++ b/crates/fleet/tests/follow.rs
@@ -0,0 +1,107 @@
+//! One follower and the followers of one head, step by step.
+
+use sedgerun_fleet::follow::{
+    Admission, Asker, Downstream, FOLLOWER_TIMEOUT_MS, Follower, Followers, MAX_FOLLOWERS, MAX_UPDATE_AGE_MS,
+    Next, Peer, Poll, Rejection, Voters,
+};
+use sedgerun_fleet::relay::FollowerRole;
+use sedgerun_fleet::subscribe::{Redirect, Route, SubscribeReply, Summary, Update};
+use sedgerun_fleet::view::{Key, Object, VersionedObject, View};
+
+fn peer(head: &str) -> Peer {
+    Peer { head: head.into(), address: format!("{head}:1") }
+}
+
+fn update(view: &View, since: u64, path: &[&str], age: u64) -> SubscribeReply {
+    let path = path.iter().map(|head| (*head).to_owned()).collect();
+    SubscribeReply::Update(Update {
+        version: view.version,
+        age,
+        chunk: Some(view.chunk(since, 0, 1 << 20)),
+        route: Some(Route { origin: Some(1), path, leader: None, voters: Voters::default() }),
+        directory: None,
+    })
+}
+
+fn banned(version: u64) -> View {
+    let mut view = View::default();
+    view.put(VersionedObject { version, key: Key::Backend("b".into()), object: Some(Object::Ban) });
+    view
+}
+
+/// Polls as soon as the follower does.
+fn polled(follower: &mut Follower, now: &mut u64, view: &View) -> Poll {
+    loop {
+        match follower.next(*now, view, false) {
+            Next::Wait(until) => *now = until.max(*now + 1),
+            Next::Poll(poll) => return poll,
+        }
+    }
+}
+
+fn asker(downstream: Downstream, subtree: Option<Vec<Downstream>>) -> Asker {
+    let summary = subtree.map(Summary::of_list);
+    Asker { downstream, role: FollowerRole::Head, bypass_relays: false, summary }
+}
+
+#[test]
+fn a_ring_an_old_upstream_and_one_that_is_behind_are_left() {
+    let mut follower = Follower::new("f1", vec![peer("k1"), peer("f1")], 1);
+    let mut view = View::default();
+    let mut now = 1000;
+    let poll = polled(&mut follower, &mut now, &view);
+    assert_eq!((now, poll.peer, poll.since, poll.first_version), (1000, peer("k1"), 0, 0));
+    assert_eq!(follower.on_reply(1000, &mut view, update(&banned(3), 0, &["k1"], 10)), Ok(true));
+    assert_eq!((view.version, follower.age(1050)), (3, Some(60)));
+    assert_eq!(follower.path(), ["k1", "f1"]);
+    assert!(matches!(follower.next(1060, &view, false), Next::Poll(_)));
+    let ring = follower.on_reply(1060, &mut view, update(&banned(9), 0, &["k1", "f1", "f2"], 10));
+    assert_eq!(ring, Err(Rejection::Ring));
+    assert!(matches!(follower.next(1060, &view, false), Next::Wait(_)), "it tries again at once");
+    now = 1070;
+    polled(&mut follower, &mut now, &view);
+    assert_eq!(follower.on_reply(now, &mut view, update(&banned(2), 0, &["k2"], 10)), Err(Rejection::Behind));
+    polled(&mut follower, &mut now, &view);
+    let old = update(&View::default(), 0, &["f7"], MAX_UPDATE_AGE_MS + 1);
+    assert_eq!(follower.on_reply(now, &mut view, old), Err(Rejection::Stale));
+    assert_eq!(view.version, 3);
+    // News is news, however old: it is taken, and another upstream looked for.
+    polled(&mut follower, &mut now, &view);
+    let old_news = update(&banned(4), 3, &["f7"], MAX_UPDATE_AGE_MS + 1);
+    assert_eq!(follower.on_reply(now, &mut view, old_news), Err(Rejection::Stale));
+    assert_eq!((view.version, follower.age(now)), (4, Some(now - 990)));
+}
+
+#[test]
+fn a_full_head_redirects_to_its_followers() {
+    let mut followers = Followers::default();
+    let downstream =
+        |i: u64| Downstream { at: peer(&format!("f{i}")), store: i, zone: None, version: 0, incarnation: 1 };
+    for i in 0..MAX_FOLLOWERS as u64 {
+        assert_eq!(followers.admit(0, asker(downstream(i), None), false), Admission::Admitted);
+    }
+    let again = asker(downstream(3), Some(vec![downstream(100)]));
+    assert_eq!(followers.admit(1, again, false), Admission::Admitted, "it asks again");
+    assert_eq!(followers.admit(1, asker(downstream(99), None), false), Admission::Full);
+    assert_eq!(followers.subtree(1).len(), MAX_FOLLOWERS + 1);
+    assert_eq!(followers.summary(1).heads as usize, MAX_FOLLOWERS + 1);
+    let mut follower = Follower::new("f99", vec![peer("k1")], 1);
+    let mut view = View::default();
+    let mut now = 1;
+    polled(&mut follower, &mut now, &view);
+    let redirect = Redirect { directory: None, peers: followers.peers() };
+    let rejected = follower.on_reply(now, &mut view, SubscribeReply::Redirect(redirect));
+    assert_eq!(rejected, Err(Rejection::Redirected));
+    let Next::Wait(mut due) = follower.next(now, &view, false) else { panic!("at once") };
+    let poll = polled(&mut follower, &mut due, &view);
+    assert!(poll.peer.head.starts_with('f') && (poll.since, poll.first_version) == (0, 0));
+    let late = FOLLOWER_TIMEOUT_MS + 1;
+    let admission = followers.admit(late, asker(downstream(99), None), false);
+    assert_eq!(admission, Admission::Admitted, "the others are gone");
+    let twin = Downstream { store: 98, ..downstream(99) };
+    let admission = followers.admit(late + 1, asker(twin.clone(), None), false);
+    assert_eq!(admission, Admission::DuplicateName);
+    assert_eq!(followers.subtree(late + 1).len(), 1);
+    let admission = followers.admit(late + FOLLOWER_TIMEOUT_MS + 1, asker(twin, None), false);
+    assert_eq!(admission, Admission::Admitted, "the first is gone");
+}
--- a/crates/head/src/config.rs
+++ b/crates/head/src/config.rs
@@ -147,7 +147,10 @@
 
     /// Adds what the operator's file sets up.
     pub fn add_operator(&mut self, text: &str) -> Result<(), Faults> {
-        self.operator = Operator::read(text, self.catalogue(), &self.bounds)?;
+        self.operator = Operator::read(text, &self.name, self.catalogue(), &self.bounds)?;
+        if let Some(fleet) = &mut self.operator.fleet {
+            fleet.sockets = self.sockets;
+        }
         Ok(())
     }
 
--- a/crates/head/src/fleet/client.rs
+++ b/crates/head/src/fleet/client.rs
@@ -3,16 +3,18 @@
 use super::environment::{Tcp, random};
 use super::link::Links;
 use super::settings::Settings;
-use super::types::{Call, Reply, Status, VoterStatus};
+use super::types::{Call, DistributionStatus, Reply, Status, VoterStatus};
 use super::{change, own_address};
 use futures_util::future::join_all;
 use sedgerun_fleet::greeting::Greeting;
 use sedgerun_fleet::record::{self, RecordType};
+use sedgerun_fleet::relay::RelayStatus;
 use sedgerun_fleet::state::{Command, Outcome};
 use sedgerun_fleet::view::{Transfer, UpstreamBehind, VersionedObject, View};
 use sedgerun_fleet::watermark::{Incarnation, Watermark, Watermarks};
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
+use std::collections::BTreeMap;
 use std::fmt::Write as _;
 use std::io::Write as _;
 use std::path::Path;
@@ -75,8 +77,8 @@
 /// Declares the store dead that votes under a head's name: another takes its place at once.
 pub fn replace(settings: &Settings, head: &str, lost: &str) -> Result<u64, String> {
     let asked = ask_all(settings, head)?;
-    let leader = asked.iter().filter_map(|(_, said)| said.as_ref().ok()).find(|said| said.role == "leader");
-    let leader = leader.ok_or("no leader answers")?;
+    let mut answered = asked.iter().filter_map(|(_, said)| Some(&said.as_ref().ok()?.status));
+    let leader = answered.find(|said| said.role == "leader").ok_or("no leader answers")?;
     let voter = leader.voters.iter().find(|voter| voter.votes && voter.head == lost);
     let store = voter.ok_or(format!("{lost} does not vote"))?.store;
     make(settings, head, Command::DeclareDead(store))
@@ -161,7 +163,28 @@
     }
 }
 
-type Answers = Vec<(String, Result<Status, String>)>;
+/// How one head stands, as it says itself.
+struct HeadStatus {
+    status: Status,
+    /// `None` from a head of an earlier version.
+    distribution: Option<DistributionStatus>,
+}
+
+type Answers = Vec<(String, Result<HeadStatus, String>)>;
+
+async fn ask_status(links: &Links, at: std::net::SocketAddr) -> Result<HeadStatus, String> {
+    let status = match links.call(at, &Call::Status, WITHIN).await {
+        Ok(Reply::Status(status)) => *status,
+        Ok(Reply::Refused(why)) => return Err(why),
+        Ok(_) => return Err("an answer to something else".into()),
+        Err(error) => return Err(error.to_string()),
+    };
+    let distribution = match links.call(at, &Call::Distribution, WITHIN).await {
+        Ok(Reply::Distribution(distribution)) => Some(*distribution),
+        _ => None,
+    };
+    Ok(HeadStatus { status, distribution })
+}
 
 /// How the voters of the settings and those that have taken their places stand, all asked at once; an error
 /// where none answers.
@@ -170,12 +193,7 @@
     let ask = async |name: String, at: Option<std::net::SocketAddr>| {
         let said = match at {
             None => Err("no address".into()),
-            Some(at) => match links.call(at, &Call::Status, WITHIN).await {
-                Ok(Reply::Status(status)) => Ok(*status),
-                Ok(Reply::Refused(why)) => Err(why),
-                Ok(_) => Err("an answer to something else".into()),
-                Err(error) => Err(error.to_string()),
-            },
+            Some(at) => ask_status(&links, at).await,
         };
         (name, said)
     };
@@ -186,8 +204,8 @@
         let first = first.into_iter().map(|(name, at)| ask(name, Some(at)));
         let mut asked: Answers = join_all(first).await;
         let said = asked.iter().filter_map(|(_, said)| said.as_ref().ok());
-        let newest = said.max_by_key(|status| (status.term, status.last));
-        let known = newest.map(|status| status.voters.clone()).unwrap_or_default();
+        let newest = said.max_by_key(|said| (said.status.term, said.status.last));
+        let known = newest.map(|said| said.status.voters.clone()).unwrap_or_default();
         let others = known.into_iter().filter(|voter| asked.iter().all(|(name, _)| *name != voter.head));
         let others: Vec<VoterStatus> = others.collect();
         let others = others.into_iter();
@@ -213,8 +231,8 @@
 
 /// The followers, as the voters report them, each once and those with a row of their own left out.
 fn followers(asked: &Answers) -> Vec<sedgerun_fleet::follow::Downstream> {
-    let mut all = std::collections::BTreeMap::new();
-    for status in asked.iter().filter_map(|(_, said)| said.as_ref().ok()) {
+    let mut all = BTreeMap::new();
+    for HeadStatus { status, .. } in asked.iter().filter_map(|(_, said)| said.as_ref().ok()) {
         all.extend(status.followers.iter().map(|follower| (follower.at.head.clone(), follower.clone())));
     }
     asked.iter().filter(|(_, said)| said.is_ok()).for_each(|(name, _)| drop(all.remove(name)));
@@ -248,8 +266,15 @@
     let heads: Vec<Value> = asked
         .iter()
         .map(|(name, said)| match said {
-            Ok(status) => {
+            Ok(HeadStatus { status, distribution }) => {
                 let mut told = json!(status);
+                if let Some(distribution) = distribution {
+                    told["region"] = json!(distribution.region);
+                    told["upstream"] = json!(distribution.upstream);
+                    told["direct_followers"] = json!(distribution.direct_followers);
+                    told["all_followers"] = json!(distribution.all_followers);
+                    told["lowest_version"] = json!(distribution.lowest_version);
+                }
                 told["store"] = hexadecimal(status.store);
                 for (place, known) in status.voters.iter().enumerate() {
                     told["keepers"][place]["store"] = hexadecimal(known.store);
@@ -266,14 +291,40 @@
         json!({"head": known.at.head, "role": "follower", "address": known.at.address, "zone": known.zone,
             "version": known.version, "life": known.incarnation, "store": hexadecimal(known.store)})
     });
-    let mut table =
-        json!({"fleet": settings.name, "heads": heads, "followers": followers.collect::<Vec<Value>>()});
+    let followers = followers.collect::<Vec<Value>>();
+    let relays = relays(asked).into_iter().map(|RelayStatus { relay, followers }| {
+        json!({"head": relay.peer.head, "address": relay.peer.address, "region": relay.region, "zone": relay.zone,
+            "store": hexadecimal(relay.store), "life": relay.incarnation, "followers": followers})
+    });
+    let relays = relays.collect::<Vec<Value>>();
+    let mut table = json!({"fleet": settings.name, "heads": heads, "followers": followers, "relays": relays});
     add_renamed_keys(&mut table);
     table
 }
 
+/// The relays, as the voters report them, each once and with the greatest load that one reports.
+fn relays(asked: &Answers) -> Vec<RelayStatus> {
+    let mut all: BTreeMap<String, RelayStatus> = BTreeMap::new();
+    let reports = asked.iter().filter_map(|(_, said)| said.as_ref().ok()?.distribution.as_ref());
+    for reported in reports.flat_map(|distribution| &distribution.relays) {
+        let known = all.entry(reported.relay.peer.head.clone()).or_insert_with(|| reported.clone());
+        known.followers = known.followers.max(reported.followers);
+    }
+    all.into_values().collect()
+}
+
+/// How many heads follow, where the voters that answer know of more than they name.
+fn unnamed_followers(asked: &Answers) -> u32 {
+    let said = asked.iter().filter_map(|(_, said)| said.as_ref().ok());
+    // The head whose settings are used may follow itself; its own followers are behind a voter already.
+    let voters = said.filter(|said| matches!(said.status.role.as_str(), "leader" | "keeper" | "candidate"));
+    let counts = voters.filter_map(|said| Some((said.distribution.as_ref()?.all_followers, &said.status)));
+    let unnamed = counts.map(|(all, status)| all.saturating_sub(status.followers.len() as u32));
+    unnamed.sum()
+}
+
 fn table(settings: &Settings, asked: &Answers) -> String {
-    let newest = asked.iter().filter_map(|(_, said)| said.as_ref().ok()).map(|status| status.version).max();
+    let newest = asked.iter().filter_map(|(_, said)| Some(said.as_ref().ok()?.status.version)).max();
     let newest = newest.unwrap_or(0);
     let mut text = format!("fleet {}\n", settings.name);
     let _ = writeln!(
@@ -283,7 +334,7 @@
     );
     for (name, said) in asked {
         let _ = match said {
-            Ok(status) => writeln!(
+            Ok(HeadStatus { status, .. }) => writeln!(
                 text,
                 "{name:<12} {:<10} {:>5} {:>8} {:>7} {:>8}  {:016x} {:>5} {:>6} us {:>6} us  {}",
                 status.role,
@@ -314,5 +365,12 @@
             known.incarnation,
         );
     }
+    if unnamed_followers(asked) > 0 {
+        let _ = writeln!(text, "and {} more that follow, not named here", unnamed_followers(asked));
+    }
+    for RelayStatus { relay, followers } in relays(asked) {
+        let region = relay.region.as_deref().unwrap_or("-");
+        let _ = writeln!(text, "relay {:<12} region {region:<10} {followers:>5} followers", relay.peer.head);
+    }
     text
 }
--- a/crates/head/src/fleet/member.rs
+++ b/crates/head/src/fleet/member.rs
@@ -13,6 +13,8 @@
 use sedgerun_fleet::election::{Election, ElectionTimeouts};
 use sedgerun_fleet::follow::{Follower, Followers, Peer, Voters};
 use sedgerun_fleet::greeting::{Greeting, StoreId, origin};
+use sedgerun_fleet::relay::RelayRegistry;
+use sedgerun_fleet::transfer_slots::TransferSlots;
 use sedgerun_fleet::watermark::{Incarnation, Watermark};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -77,6 +79,8 @@
     election: Mutex<Election>,
     follower: Mutex<Follower>,
     followers: Mutex<Followers>,
+    registry: Mutex<RelayRegistry>,
+    transfer_slots: Mutex<TransferSlots>,
     /// Changes that wait to be written.
     pub changes: mpsc::Sender<PendingChange>,
 }
@@ -150,6 +154,9 @@
         let raft = raft.await.map_err(|error| error.to_string())?;
         let seeds = settings.voters.iter();
         let seeds = seeds.map(|(head, at)| Peer { head: head.clone(), address: at.to_string() }).collect();
+        let follower = Follower::new(head, seeds, random()?);
+        let follower = follower.with_role(settings.role(), settings.region.clone());
+        let followers = Followers::new(settings.role(), settings.follower_capacity());
         Ok(Member {
             raft,
             machine,
@@ -163,8 +170,10 @@
             removed: AtomicBool::default(),
             repairs: AtomicU64::new(0),
             election: Mutex::new(Election::new(ELECTION_TIMEOUTS, random()?, now())),
-            follower: Mutex::new(Follower::new(head, seeds, random()?)),
-            followers: Mutex::default(),
+            follower: Mutex::new(follower),
+            followers: Mutex::new(followers),
+            registry: Mutex::default(),
+            transfer_slots: Mutex::new(TransferSlots::new(random()?)),
             changes,
         })
     }
@@ -184,6 +193,19 @@
         lock(&self.followers)
     }
 
+    /// The leases of the relays, as far as this head votes.
+    pub fn voting_registry(&self) -> MutexGuard<'_, RelayRegistry> {
+        let votes = self.votes();
+        let mut registry = lock(&self.registry);
+        registry.set_voting(now(), votes);
+        registry
+    }
+
+    /// The large transfers to followers that go on.
+    pub fn transfer_slots(&self) -> MutexGuard<'_, TransferSlots> {
+        lock(&self.transfer_slots)
+    }
+
     /// Answers a call of another head, which said this of itself.
     pub async fn answer(&self, call: Call, from: &Greeting) -> Reply {
         let call = match call {
@@ -236,6 +258,9 @@
             },
             Call::Silent(last) => Reply::Silent(self.raft_id(), self.is_silent(last)),
             Call::Follow(request) => self.serve_update(*request, from).await,
+            Call::Subscribe(subscription) => self.serve_subscription(*subscription, from).await,
+            Call::RegisterRelay(registration) => self.register_relay(registration, from),
+            Call::Distribution => Reply::Distribution(Box::new(self.distribution())),
             Call::Chunk(since, first_version) => Reply::Chunk(self.serve_chunk(since, first_version)),
             _ => Reply::Status(Box::new(self.status())),
         }
@@ -323,13 +348,15 @@
         let own =
             Voters { log_index: membership.log_id().map_or(0, |at| at.index), by_store: by_store.collect() };
         let told = self.follower().voters.clone();
-        if told.log_index > own.log_index { told } else { own }
+        // The first voters are settled at index 0, at which a follower's own empty list stands, too.
+        let is_newer = told.log_index > own.log_index || own.by_store.is_empty();
+        if is_newer { told } else { own }
     }
 
     /// Where the leader is, as far as this head knows; `None` where that is itself, or nobody.
     pub fn leader(&self) -> Option<Peer> {
         if !self.votes() {
-            return self.follower().leader.clone();
+            return self.follower().leader();
         }
         let metrics = self.raft.metrics().borrow().clone();
         let leader = metrics.current_leader.filter(|leader| *leader != metrics.id)?;
@@ -350,6 +377,7 @@
     fn role(&self, stopped: bool, state: ServerState, age: Option<u64>) -> &'static str {
         match state {
             _ if stopped => "stopped",
+            _ if !self.votes() && age.is_some() && self.settings.relay => "relay",
             _ if !self.votes() && age.is_some() => "follower",
             _ if !self.votes() => "new",
             ServerState::Leader => "leader",
--- a/crates/head/src/fleet/mod.rs
+++ b/crates/head/src/fleet/mod.rs
@@ -13,12 +13,15 @@
 mod machine;
 mod member;
 pub mod node;
+mod peer_connection;
 mod pending;
 mod recovery;
+mod relay;
 mod repair;
 mod serve;
 pub mod settings;
 pub mod types;
+mod upstream;
 
 use crate::config::Config;
 use crate::hub::Hub;
@@ -179,6 +182,7 @@
     /// How this head stands, as pairs of a name and a figure.
     pub fn figures(&self) -> Vec<(&'static str, u64)> {
         let status = self.member.status();
+        let distribution = self.member.distribution();
         let lag = status.age.unwrap_or(u64::MAX);
         let mut figures = vec![
             ("fleet_term", status.term),
@@ -189,7 +193,10 @@
             ("fleet_stopped", u64::from(status.role == "stopped")),
             ("fleet_version", status.version),
             ("fleet_age_milliseconds", lag),
-            ("fleet_followers", status.followers.len() as u64),
+            ("fleet_followers", u64::from(distribution.all_followers)),
+            ("fleet_direct_followers", u64::from(distribution.direct_followers)),
+            ("fleet_is_relay", u64::from(self.member.settings.relay)),
+            ("fleet_relays", distribution.relays.len() as u64),
             ("fleet_syncs", status.syncs.0),
             ("fleet_sync_longest_microseconds", status.syncs.1),
             ("fleet_sync_mean_microseconds", status.syncs.2),
--- a/crates/head/src/fleet/node.rs
+++ b/crates/head/src/fleet/node.rs
@@ -5,12 +5,12 @@
 use super::environment::{Connection, Dial};
 use super::member::Member;
 use super::pending::{MAX_WAITING, Unsettled};
-use super::serve::{MAX_CALLERS, serve_connection};
+use super::serve::serve_connection;
 use super::settings::Settings;
 use super::types::Status;
 use openraft::ServerState;
-use sedgerun_fleet::greeting::StoreId;
 use sedgerun_fleet::state::{Change, Outcome};
+use sedgerun_fleet::store::StoreId;
 use sedgerun_fleet::view::View;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -52,6 +52,10 @@
         tasks.spawn(async move { following.follow().await });
         let saving = Arc::clone(&member);
         tasks.spawn(async move { saving.save_followed().await });
+        if member.settings.relay {
+            let registering = Arc::clone(&member);
+            tasks.spawn(async move { registering.run_registration().await });
+        }
         let repairing = Arc::clone(&member);
         tasks.spawn(async move { repairing.run_repair().await });
         Ok(Node { member, own_tasks: tasks.len(), tasks })
@@ -62,7 +66,7 @@
         let member = Arc::clone(&self.member);
         while self.tasks.try_join_next().is_some() {}
         // Guards against callers that connect and stay: those past the bound are closed at once.
-        if self.tasks.len() >= self.own_tasks + MAX_CALLERS {
+        if self.tasks.len() >= self.own_tasks + member.settings.max_callers(member.votes()) {
             return;
         }
         self.tasks.spawn(async move { drop(serve_connection(&member, connection).await) });
@@ -133,6 +137,8 @@
     let mut said = (String::new(), 0, None);
     let mut trouble = false;
     loop {
+        // Noted here, so that a voter counts as one from its start on, and not from the first question.
+        drop(member.voting_registry());
         let status = member.status();
         let now = (status.role, status.term, status.leader);
         if now != said {
--- a/crates/head/src/fleet/repair.rs
+++ b/crates/head/src/fleet/repair.rs
@@ -144,8 +144,11 @@
                 all.extend(status.followers.into_iter().map(|follower| (follower.store, follower)));
             }
         }
+        let relays = self.voting_registry().relays(now());
+        let is_relay = |store: &StoreId| relays.iter().any(|known| known.relay.store == *store);
         let is_member = |store: &StoreId| members.iter().any(|member| member.store == *store);
-        let candidates = all.into_values().filter(|follower| !is_member(&follower.store));
+        let may_vote = |follower: &Downstream| !is_member(&follower.store) && !is_relay(&follower.store);
+        let candidates = all.into_values().filter(may_vote);
         let candidates = candidates.map(|Downstream { at, store, zone, .. }| Candidate {
             store,
             head: at.head,
--- a/crates/head/src/fleet/serve.rs
+++ b/crates/head/src/fleet/serve.rs
@@ -3,18 +3,16 @@
 use super::environment::Connection;
 use super::link::{GREETING, receive, send};
 use super::member::Member;
-use super::types::Call;
+use super::types::{Call, Reply};
 use sedgerun_fleet::greeting::{Greeting, Refusal};
 use sedgerun_fleet::record::RecordType;
+use sedgerun_fleet::subscribe::SubscribeReply;
 use std::io;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 use tokio::net::TcpListener;
-use tokio::sync::Semaphore;
 
-/// The most heads and command lines that are connected at once.
-pub const MAX_CALLERS: usize = 128;
 /// A connection on which nothing is asked for so long is closed.
 const IDLE: Duration = Duration::from_secs(60);
 /// Time in which an answer must have left.
@@ -22,15 +20,19 @@
 
 /// Accepts heads for as long as the future is polled.
 pub async fn serve(member: Arc<Member>, listener: TcpListener) {
-    let room = Arc::new(Semaphore::new(MAX_CALLERS));
+    let connected = Arc::new(());
     loop {
         let Ok((stream, peer)) = listener.accept().await else {
             tokio::time::sleep(Duration::from_millis(20)).await;
             continue;
         };
-        // Guards against callers that connect and stay: those past the bound are closed at once.
-        let Ok(permit) = Arc::clone(&room).try_acquire_owned() else { continue };
         let member = Arc::clone(&member);
+        // Guards against callers that connect and stay: those past the bound are closed at once. The bound moves with
+        // the vote; each connection holds a clone of the counter.
+        if Arc::strong_count(&connected) > member.settings.max_callers(member.votes()) {
+            continue;
+        }
+        let permit = Arc::clone(&connected);
         tokio::spawn(async move {
             let served = match stream.set_nodelay(true) {
                 Ok(()) => serve_connection(&member, Box::new(stream)).await,
@@ -67,5 +69,9 @@
         let call = tokio::time::timeout(IDLE, receive::<Call>(&mut stream, RecordType::Call)).await;
         let reply = member.answer(call.map_err(late)??, &theirs).await;
         tokio::time::timeout(ANSWER, send(&mut stream, RecordType::Reply, &reply)).await.map_err(late)??;
+        // Guards against a whole zone that stays connected to a voter which sent it to its relays.
+        if let Reply::Subscribed(SubscribeReply::Redirect(_)) = reply {
+            return Ok(());
+        }
     }
 }
--- a/crates/head/src/fleet/settings.rs
+++ b/crates/head/src/fleet/settings.rs
@@ -1,5 +1,7 @@
 //! The `(fleet ...)` form of the operator's file: without it there is nothing of the fleet in this process.
 
+use sedgerun_fleet::follow::MAX_FOLLOWERS;
+use sedgerun_fleet::relay::{FollowerRole, RELAY_CAPACITY};
 use sedgerun_settings::Pairs;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -29,11 +31,24 @@
     pub address: Option<SocketAddr>,
     /// The zone that this head is in.
     pub zone: Option<String>,
+    /// The region that this head is in.
+    pub region: Option<String>,
+    /// This head is a relay: a follower set aside to serve many others.
+    pub relay: bool,
+    /// Descriptors that the program may hold; what a head serves at once follows from it.
+    pub sockets: usize,
 }
 
+/// Descriptors where the settings of the program do not say.
+pub const DEFAULT_SOCKETS: usize = 1024;
+/// Heads and command lines that are connected at once to an ordinary head; relays have so many beside their followers.
+const MAX_CALLERS: usize = 128;
+/// The same at a voter, whom all heads of a zone may call first when they start together.
+const MAX_VOTER_CALLERS: usize = 1024;
+
 impl Settings {
     /// The keys of the form.
-    pub const KEYS: [&str; 9] = [
+    pub const KEYS: [&str; 11] = [
         "fleet.name",
         "fleet.secret",
         "fleet.listen",
@@ -43,10 +58,12 @@
         "fleet.heads",
         "fleet.address",
         "fleet.zone",
+        "fleet.region",
+        "fleet.relay",
     ];
 
-    /// Reads the form, where it is there; faults stay with the pairs.
-    pub fn read(pairs: &Pairs) -> Option<Settings> {
+    /// Reads the form of a head of this name, where it is there; faults stay with the pairs.
+    pub fn read(pairs: &Pairs, head: &str) -> Option<Settings> {
         if !pairs.keys().any(|key| key.starts_with("fleet.")) {
             return None;
         }
@@ -93,6 +110,19 @@
             let what = format!("setting {voters_key} names {}: an odd number keeps", voters.len());
             pairs.fault(voters_key, what);
         }
+        let relay = match pairs.text("fleet.relay") {
+            Some("yes") => true,
+            None | Some("no" | "") => false,
+            Some(other) => {
+                malformed("fleet.relay", other);
+                false
+            }
+        };
+        if relay && voters.contains_key(head) {
+            let what =
+                format!("setting fleet.relay: {head} is among {voters_key}, and a relay does not vote");
+            pairs.fault("fleet.relay", what);
+        }
         // Two sources of tenants would contradict each other.
         if pairs.text("exports.count").is_some_and(|count| count != "0") {
             pairs.fault(
@@ -108,10 +138,32 @@
             voters,
             heads,
             address,
-            zone: pairs.text("fleet.zone").filter(|zone| !zone.is_empty()).map(str::to_owned),
+            zone: named_place(pairs, "fleet.zone"),
+            region: named_place(pairs, "fleet.region"),
+            relay,
+            sockets: DEFAULT_SOCKETS,
         })
     }
 
+    /// What this head is set aside for.
+    pub fn role(&self) -> FollowerRole {
+        if self.relay { FollowerRole::Relay } else { FollowerRole::Head }
+    }
+
+    /// Followers that this head serves directly: a relay leaves a quarter of its descriptors to all else.
+    pub fn follower_capacity(&self) -> usize {
+        if self.relay { RELAY_CAPACITY.min(self.sockets * 3 / 4).max(MAX_FOLLOWERS) } else { MAX_FOLLOWERS }
+    }
+
+    /// Heads and command lines that are connected at once.
+    pub fn max_callers(&self, votes: bool) -> usize {
+        match (self.relay, votes) {
+            (true, _) => self.follower_capacity() + MAX_CALLERS.min(self.sockets / 8),
+            (false, true) => (self.sockets / 4).clamp(MAX_CALLERS, MAX_VOTER_CALLERS),
+            (false, false) => MAX_CALLERS,
+        }
+    }
+
     /// Where this head calls others, by their names.
     pub fn routes(&self) -> BTreeMap<String, SocketAddr> {
         self.heads.iter().chain(&self.voters).map(|(head, at)| (head.clone(), *at)).collect()
@@ -138,3 +190,7 @@
         _ => VOTERS,
     }
 }
+
+fn named_place(pairs: &Pairs, key: &str) -> Option<String> {
+    pairs.text(key).filter(|place| !place.is_empty()).map(str::to_owned)
+}
--- a/crates/head/src/fleet/types.rs
+++ b/crates/head/src/fleet/types.rs
@@ -5,8 +5,10 @@
     VoteRequest, VoteResponse,
 };
 use sedgerun_fleet::follow::{Downstream, UpdateReply};
-use sedgerun_fleet::greeting::StoreId;
+use sedgerun_fleet::relay::RelayStatus;
 use sedgerun_fleet::state::{Change, Outcome};
+use sedgerun_fleet::store::StoreId;
+use sedgerun_fleet::subscribe::{SubscribeReply, Subscription};
 use sedgerun_fleet::view::Chunk;
 use serde::{Deserialize, Serialize};
 use std::io::Cursor;
@@ -74,6 +76,38 @@
     Chunk(u64, u64),
     /// Make a change, wherever the leader is; asked by the command line.
     Propose(Change),
+    /// A poll of a follower. Heads of earlier versions do not know this call, nor those below, and end the connection.
+    Subscribe(Box<Subscription>),
+    /// Grant or renew the lease of the relay that calls.
+    RegisterRelay(RelayRegistration),
+    /// How it stands among relays and followers.
+    Distribution,
+}
+
+/// What a relay says of itself beyond its greeting.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct RelayRegistration {
+    /// Its region, where there is one.
+    pub region: Option<String>,
+    /// Followers that it serves directly.
+    pub followers: u32,
+}
+
+/// How a head stands among relays and followers.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+pub struct DistributionStatus {
+    /// Its region, where there is one.
+    pub region: Option<String>,
+    /// The head that it follows, by name.
+    pub upstream: Option<String>,
+    /// Followers that it serves directly.
+    pub direct_followers: u32,
+    /// All followers behind it, direct and indirect; [`Status::followers`] may name fewer.
+    pub all_followers: u32,
+    /// The lowest version that one of them holds; 0 where there are none.
+    pub lowest_version: u64,
+    /// The relays that it knows; their loads only where this head votes.
+    pub relays: Vec<RelayStatus>,
 }
 
 /// What a follower asks for.
@@ -120,6 +154,12 @@
     NotLeader(Option<VoterAddress>),
     /// Not done, for this reason.
     Refused(String),
+    /// To a poll of a follower.
+    Subscribed(SubscribeReply),
+    /// The lease is granted.
+    Registered,
+    /// How it stands among relays and followers.
+    Distribution(Box<DistributionStatus>),
 }
 
 /// A voter as a head knows it.
@@ -151,7 +191,7 @@
     /// Counted at each start.
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// `leader`, `keeper`, `candidate`, `follower`, `new` (nothing heard yet) or `stopped`.
+    /// `leader`, `keeper`, `candidate`, `follower`, `relay`, `new` (nothing heard yet) or `stopped`.
     pub role: String,
     /// The leader's name, as far as known.
     pub leader: Option<String>,
--- a/crates/head/src/operator.rs
+++ b/crates/head/src/operator.rs
@@ -60,8 +60,8 @@
 }
 
 impl Operator {
-    /// Reads and checks the operator's file.
-    pub fn read(text: &str, known: Catalogue<'_>, bounds: &Bounds) -> Result<Operator, Faults> {
+    /// Reads and checks the operator's file of a head of this name.
+    pub fn read(text: &str, head: &str, known: Catalogue<'_>, bounds: &Bounds) -> Result<Operator, Faults> {
         let pairs = operator::read(text)?;
         if !operator::is_forms(text) && pairs.keys().next().is_some() {
             tracing::warn!(
@@ -93,7 +93,7 @@
             boxes: boxes.collect(),
             admin: admin(&pairs),
             vrrp: vrrp(&pairs),
-            fleet: Fleet::read(&pairs),
+            fleet: Fleet::read(&pairs, head),
         };
         pairs.finish(read)
     }
--- a/crates/rehearse/src/fleet/heads.rs
+++ b/crates/rehearse/src/fleet/heads.rs
@@ -8,7 +8,7 @@
 use sedgerun::fleet::disk::open_in_simulator;
 use sedgerun::fleet::environment::Connection;
 use sedgerun::fleet::node::{Node, NodeClient};
-use sedgerun::fleet::settings::Settings;
+use sedgerun::fleet::settings::{DEFAULT_SOCKETS, Settings};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::PathBuf;
 use std::sync::{Arc, Mutex};
@@ -90,6 +90,9 @@
             heads: (self.voters..self.heads.len()).map(named).collect(),
             address: Some(self.places[head]),
             zone: None,
+            region: None,
+            relay: false,
+            sockets: DEFAULT_SOCKETS,
         }
     }
 
--- a/crates/rehearse/src/scale/hollow.rs
+++ b/crates/rehearse/src/scale/hollow.rs
@@ -10,7 +10,7 @@
 use sedgerun::fleet::Fleet;
 use sedgerun::fleet::disk::open_in_simulator;
 use sedgerun::fleet::node::Node;
-use sedgerun::fleet::settings::Settings;
+use sedgerun::fleet::settings::{DEFAULT_SOCKETS, Settings};
 use sedgerun::head::new_hub;
 use sedgerun::hub::Hub;
 use std::cell::{Cell, RefCell};
@@ -146,6 +146,9 @@
             heads: BTreeMap::new(),
             address: Some(address),
             zone: Some(spec.zone.clone()),
+            region: None,
+            relay: false,
+            sockets: DEFAULT_SOCKETS,
         }
     }
 
