--- a/crates/rehearse/src/fleet/harness.rs
+++ b/crates/rehearse/src/fleet/harness.rs
@@ -38,6 +38,16 @@
     pub discovery: SocketAddr,
     /// Zones that they are spread over, in turn; none of them has one where there are none.
     pub zones: Vec<String>,
+    /// The region of each zone, in the same order; none has one where there are none.
+    pub regions: Vec<String>,
+}
+
+impl HarnessLayout {
+    /// The form that names the zone or region of a head, with a space before it; empty where there are none.
+    fn place_of(&self, form: &str, places: &[String], head: usize) -> String {
+        let place = places.get(head % places.len().max(1));
+        place.map_or_else(String::new, |place| format!(" ({form} \"{place}\")"))
+    }
 }
 
 /// Heads as processes of a program; all end with it.
@@ -55,7 +65,8 @@
     /// Starts heads, of which the first vote, and begins their fleet. They find no discovery.
     pub fn begin(program: &Path, voters: usize, heads: usize) -> Result<Harness, String> {
         let discovery = SocketAddr::from((Ipv4Addr::LOCALHOST, UNUSED_PORT));
-        Harness::begin_with(program, &HarnessLayout { voters, heads, discovery, zones: Vec::new() })
+        let (zones, regions) = Default::default();
+        Harness::begin_with(program, &HarnessLayout { voters, heads, discovery, zones, regions })
     }
 
     /// Starts the heads of a layout, and begins their fleet.
@@ -80,11 +91,11 @@
             let config = json!({"name": format!("n{head}"), "listen": http.to_string(),
                 "mgmt": operators.to_string(), "discovery": layout.discovery.to_string(), "seed": format!("{head:x}"), "settings": settings,
                 "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}});
-            let zone = layout.zones.get(head % layout.zones.len().max(1));
-            let zone = zone.map_or_else(String::new, |zone| format!(" (zone \"{zone}\")"));
+            let zone = layout.place_of("zone", &layout.zones, head);
+            let region = layout.place_of("region", &layout.regions, head);
             let operator = format!(
                 "(admin (listen \"{admin}\") (token \"{TOKEN}\"))\n(fleet (name \"demo\") \
-                 (secret \"known to the harness alone\") (listen \"{fleet}\") (dir \"{}\") (voters {}){zone})\n",
+                 (secret \"known to the harness alone\") (listen \"{fleet}\") (dir \"{}\") (voters {}){zone}{region})\n",
                 folder.join("store").display(),
                 named.join(" ")
             );
--- a/crates/rehearse/src/scale/arguments.rs
+++ b/crates/rehearse/src/scale/arguments.rs
@@ -15,13 +15,15 @@
 const MOST_VALUES: usize = 8;
 /// The most whole heads: each is a process.
 const MOST_WHOLE_HEADS: u64 = 100;
+/// The most relays: each is a process.
+const MOST_RELAYS: u64 = 48;
 /// Voters of the fleet's store.
 pub const VOTERS: u64 = 3;
 
 /// Measures what heads cost at growing sizes: hollow heads beside real ones, on loopback
 #[derive(Args, Clone, Debug)]
 pub struct ScaleArguments {
-    /// Heads in all, in growing sizes: voters, whole heads and hollow heads
+    /// Heads in all, in growing sizes: voters, relays, whole heads and hollow heads
     #[arg(long, allow_hyphen_values = true, value_name = "N,N", default_value = "25,50,100,200")]
     pub heads: String,
     /// Backends on discovery's list
@@ -39,6 +41,9 @@
     /// Real heads without a vote, beside the voters
     #[arg(long, allow_hyphen_values = true, value_name = "N", default_value = "8")]
     pub whole: String,
+    /// Relays, spread over the regions; with 0 updates go from head to head
+    #[arg(long, allow_hyphen_values = true, value_name = "N", default_value = "3")]
+    pub relays: String,
     /// Leave out starts and faults
     #[arg(long)]
     pub steady_only: bool,
@@ -57,6 +62,8 @@
     pub seed: u64,
     /// Real heads without a vote.
     pub whole_heads: u64,
+    /// Relays, each a process of one hollow head.
+    pub relays: u64,
     /// The file of the results.
     pub out: Option<PathBuf>,
     /// Starts and faults are left out.
@@ -67,7 +74,8 @@
     /// Checks all that can be checked without starting anything.
     pub fn plan(&self) -> Result<ScalePlan, ScaleError> {
         let whole_heads = number("--whole", &self.whole, 1, MOST_WHOLE_HEADS)?;
-        let mut heads = numbers("--heads", &self.heads, VOTERS + whole_heads + 1, MOST_HEADS)?;
+        let relays = number("--relays", &self.relays, 0, MOST_RELAYS)?;
+        let mut heads = numbers("--heads", &self.heads, VOTERS + whole_heads + relays + 1, MOST_HEADS)?;
         heads.sort_unstable();
         heads.dedup();
         let mut backends = numbers("--backends", &self.backends, 1, MOST_BACKENDS)?;
@@ -79,6 +87,7 @@
             changes: rates("--changes", &self.changes)?,
             seed: number("--seed", &self.seed, 0, u64::MAX)?,
             whole_heads,
+            relays,
             out: self.out.clone(),
             steady_only: self.steady_only,
         };
@@ -99,7 +108,7 @@
 
     /// Hollow heads of a fleet of so many heads.
     pub fn hollow_heads(&self, heads: u64) -> u64 {
-        heads.saturating_sub(VOTERS + self.whole_heads)
+        heads.saturating_sub(VOTERS + self.whole_heads + self.relays)
     }
 }
 
--- a/crates/rehearse/src/scale/budget.rs
+++ b/crates/rehearse/src/scale/budget.rs
@@ -35,7 +35,7 @@
 /// Refuses a size that by the estimates would go past a limit.
 pub fn check_size(plan: &ScalePlan, heads: u64, backends: u64) -> Result<(), ScaleError> {
     let limits = Limits::of_machine().map_err(|error| ScaleError::failed("/proc/meminfo", error))?;
-    let processes = 1 + 1 + VOTERS + plan.whole_heads + hosts_of(plan);
+    let processes = 1 + 1 + VOTERS + plan.whole_heads + plan.relays + hosts_of(plan);
     let process_bytes = PROCESS_BYTES + backends * PROCESS_BACKEND_BYTES;
     let memory_bytes = processes * process_bytes + hollow_bytes(plan.hollow_heads(heads), backends);
     let checked = limits.check(&Plan { processes, memory_bytes });
--- a/crates/rehearse/src/scale/faults.rs
+++ b/crates/rehearse/src/scale/faults.rs
@@ -10,6 +10,7 @@
 use super::scale_fleet::{READY_TIME, REGIONS, ScaleFleet};
 use super::starts::start;
 use super::steady::IN_FORCE_TIME;
+use std::collections::BTreeSet;
 use std::fmt;
 use std::time::{Duration, Instant};
 
@@ -38,7 +39,8 @@
     RegionCut,
     /// The leader of the store is killed.
     LeaderKilled,
-    /// The hollow heads that hear from a voter itself and serve many others are stopped, and started again.
+    /// A relay of each region is stopped, or, without relays, the hollow heads that hear from a voter itself and serve
+    /// others; they start again later.
     RelaysKilled,
 }
 
@@ -162,24 +164,43 @@
 }
 
 fn stop_upstreams(fleet: &mut ScaleFleet, record: &mut Fault) -> Result<(), ScaleError> {
-    let stopped = fleet.tell_hosts(HostCommand::StopUpstreams)?;
-    let stopped_at = |answer: &HostAnswer| if let HostAnswer::Stopped(heads) = answer { *heads } else { 0 };
-    let stopped: Vec<u64> = stopped.iter().map(stopped_at).collect();
-    record.struck = stopped.iter().sum();
-    for (host, stopped) in fleet.hosts.iter_mut().zip(&stopped) {
+    let mut stopped_at = Vec::new();
+    for number in upstream_hosts(fleet) {
+        let host = &mut fleet.hosts[number];
+        host.tell(HostCommand::StopUpstreams)?;
+        let HostAnswer::Stopped(stopped) = host.answer()? else { continue };
         host.heads -= stopped;
+        record.struck += stopped;
+        stopped_at.push((number, stopped));
     }
     let settled = settle_again(fleet, record)?;
     check_in_force(fleet, record, settled, |_| true)?;
     let restart =
         HostCommand::Restart { within_ms: RETURN_SPREAD.as_millis() as u64, ready_when: fleet.ready_when() };
-    fleet.tell_hosts(restart)?;
-    for (host, stopped) in fleet.hosts.iter_mut().zip(&stopped) {
+    for (number, stopped) in stopped_at {
+        let host = &mut fleet.hosts[number];
+        host.tell(restart)?;
+        host.answer()?;
         host.heads += stopped;
     }
     fleet.wait_until_ready()
 }
 
+/// The processes whose upstreams are stopped: a relay of each region that keeps another, or all where there are none.
+fn upstream_hosts(fleet: &ScaleFleet) -> Vec<usize> {
+    let relays: Vec<usize> = (0..fleet.hosts.len()).filter(|host| fleet.hosts[*host].is_relay).collect();
+    if relays.is_empty() {
+        return (0..fleet.hosts.len()).collect();
+    }
+    let keeps_another = |host: &&usize| {
+        let region = fleet.hosts[**host].region;
+        relays.iter().any(|other| other > *host && fleet.hosts[*other].region == region)
+    };
+    let mut struck = BTreeSet::new();
+    let victims = relays.iter().filter(keeps_another);
+    victims.filter(|host| struck.insert(fleet.hosts[**host].region)).copied().collect()
+}
+
 fn heads_where(fleet: &ScaleFleet, which: impl Fn(&HostProcess) -> bool) -> u64 {
     fleet.hosts.iter().filter(|host| which(host)).map(|host| host.heads).sum()
 }
--- a/crates/rehearse/src/scale/hollow.rs
+++ b/crates/rehearse/src/scale/hollow.rs
@@ -5,6 +5,7 @@
 use super::memory_disk::MemoryDisk;
 use super::network::ZoneNetwork;
 use super::protocol::{HeadReport, HostSpec, Ready, ReadyWhen};
+use super::scale_fleet::region_name;
 use sedgerun::config::{Config, Sources};
 use sedgerun::discovery::Discovery;
 use sedgerun::fleet::Fleet;
@@ -26,6 +27,8 @@
 
 /// How long a hollow head's disk takes for a sync.
 const SYNC_TIME: Duration = Duration::from_millis(2);
+/// Descriptors of a relay, so that it has room for as many followers as a relay ever takes.
+const RELAY_SOCKETS: usize = 2048;
 /// Between looks at whether a head that starts is ready.
 const READY_POLL: Duration = Duration::from_millis(20);
 /// Wait after a connection that could not be accepted.
@@ -146,9 +149,9 @@
             heads: BTreeMap::new(),
             address: Some(address),
             zone: Some(spec.zone.clone()),
-            region: None,
-            relay: false,
-            sockets: DEFAULT_SOCKETS,
+            region: Some(region_name(spec.region)),
+            relay: spec.relay,
+            sockets: if spec.relay { RELAY_SOCKETS } else { DEFAULT_SOCKETS },
         }
     }
 
--- a/crates/rehearse/src/scale/host_process.rs
+++ b/crates/rehearse/src/scale/host_process.rs
@@ -25,6 +25,8 @@
     pub region: u8,
     /// The number of the zone of its heads.
     pub zone_number: u8,
+    /// Its one head is a relay.
+    pub is_relay: bool,
     /// Its heads.
     pub heads: u64,
 }
@@ -40,7 +42,8 @@
         let (input, output) = pipes.ok_or_else(|| ScaleError::failed("a host", "has no pipes"))?;
         let (region, zone_number) = (spec.region, spec.zone_number);
         let answers = read_lines(output);
-        let mut host = HostProcess { input, answers, child, region, zone_number, heads: 0 };
+        let is_relay = spec.relay;
+        let mut host = HostProcess { input, answers, child, region, zone_number, is_relay, heads: 0 };
         host.write(&serde_json::to_string(spec).map_err(|error| ScaleError::failed("a host", error))?)?;
         Ok(host)
     }
--- a/crates/rehearse/src/scale/measure.rs
+++ b/crates/rehearse/src/scale/measure.rs
@@ -60,15 +60,23 @@
     }
 
     fn add_hollow(&mut self, fleet: &mut ScaleFleet) -> Result<(), ScaleError> {
-        for host in &fleet.hosts {
-            let shared = SharedProcess { heads: host.heads, usage: usage(host.id())? };
-            self.hosts.insert(host.id(), shared);
-        }
-        for report in fleet.reports()?.into_iter().flatten() {
-            let counters = Counters { at: Instant::now(), traffic: report.fleet.plus(&report.discovery) };
-            self.hollow.insert(report.name, counters);
-            self.depths.extend(report.depth);
-            self.versions.push(report.version);
+        let reports = fleet.reports()?;
+        for (host, reports) in fleet.hosts.iter().zip(reports) {
+            let usage = usage(host.id())?;
+            for report in reports {
+                let counters = Counters { at: Instant::now(), traffic: report.fleet.plus(&report.discovery) };
+                self.depths.extend(report.depth);
+                self.versions.push(report.version);
+                if host.is_relay {
+                    let relay = Process { role: Role::Relay, usage, counters };
+                    self.processes.insert(host.id(), relay);
+                } else {
+                    self.hollow.insert(report.name, counters);
+                }
+            }
+            if !host.is_relay {
+                self.hosts.insert(host.id(), SharedProcess { heads: host.heads, usage });
+            }
         }
         Ok(())
     }
--- a/crates/rehearse/src/scale/protocol.rs
+++ b/crates/rehearse/src/scale/protocol.rs
@@ -17,6 +17,8 @@
     pub zone_number: u8,
     /// The region of the heads, which is the third octet of their addresses.
     pub region: u8,
+    /// The heads are relays.
+    pub relay: bool,
     /// The fleet's name.
     pub fleet: String,
     /// The fleet's secret.
--- a/crates/rehearse/src/scale/scale_fleet.rs
+++ b/crates/rehearse/src/scale/scale_fleet.rs
@@ -19,6 +19,11 @@
 pub const REGIONS: u8 = 3;
 /// Hollow heads of one host process.
 const MOST_HEADS_OF_HOST: u64 = 800;
+/// Seeds of relays begin so far past those of other processes.
+const RELAY_SEEDS: u64 = 1 << 32;
+/// Time in which voters name relays that have registered: voters say nothing of relays for a lease after they begin to
+/// vote, and relays register at intervals.
+const RELAYS_NAMED: Duration = Duration::from_secs(9);
 /// Heads that start are spread over this time, so that a thousand of them do so in a second.
 const START_SPREAD_PER_HEAD: Duration = Duration::from_millis(1);
 /// Time in which heads that start must be ready.
@@ -28,6 +33,11 @@
 /// Between looks at how heads stand.
 const LOOK: Duration = Duration::from_millis(250);
 
+/// The name of a region.
+pub fn region_name(region: u8) -> String {
+    format!("region{region}")
+}
+
 /// The region of a zone; both are numbered from 1.
 fn region(zone_number: u8) -> u8 {
     (zone_number - 1) % REGIONS + 1
@@ -65,6 +75,7 @@
             heads: (VOTERS + plan.whole_heads) as usize,
             discovery: discovery.address(),
             zones: ZONES.iter().map(|zone| (*zone).to_owned()).collect(),
+            regions: (1..=ZONES.len() as u8).map(|zone| region_name(region(zone))).collect(),
         };
         let harness = Harness::begin_with(program, &layout).map_err(ScaleError::Failed)?;
         let callers = (0..VOTERS as usize).map(|voter| harness.caller(voter)).collect();
@@ -93,26 +104,53 @@
     }
 
     fn start_hosts(&mut self) -> Result<(), ScaleError> {
-        let settings = self.harness.settings(0).map_err(ScaleError::Failed)?;
+        for number in 0..self.plan.relays {
+            self.start_host(number, true)?;
+        }
+        self.start_relays()?;
         for number in 0..hosts_of(&self.plan) {
-            let zone = number as usize % ZONES.len();
-            let zone_number = zone as u8 + 1;
-            let spec = HostSpec {
-                name_prefix: format!("hollow{number}-"),
-                zone: ZONES[zone].to_owned(),
-                zone_number,
-                region: region(zone_number),
-                fleet: settings.name.clone(),
-                secret: settings.secret.clone(),
-                voters: settings.voters.clone(),
-                config: self.harness.config_file(0),
-                seed: self.plan.seed.wrapping_add(number),
-            };
-            self.hosts.push(HostProcess::start(&self.program, &spec)?);
+            self.start_host(number, false)?;
         }
         Ok(())
     }
 
+    /// Starts a process without heads, in the next zone in turn.
+    fn start_host(&mut self, number: u64, relay: bool) -> Result<(), ScaleError> {
+        let settings = self.harness.settings(0).map_err(ScaleError::Failed)?;
+        let zone = number as usize % ZONES.len();
+        let zone_number = zone as u8 + 1;
+        let (kind, seed_offset) = if relay { ("relay", RELAY_SEEDS) } else { ("hollow", 0) };
+        let spec = HostSpec {
+            name_prefix: format!("{kind}{number}-"),
+            zone: ZONES[zone].to_owned(),
+            zone_number,
+            region: region(zone_number),
+            relay,
+            fleet: settings.name.clone(),
+            secret: settings.secret.clone(),
+            voters: settings.voters.clone(),
+            config: self.harness.config_file(0),
+            seed: self.plan.seed.wrapping_add(seed_offset + number),
+        };
+        self.hosts.push(HostProcess::start(&self.program, &spec)?);
+        Ok(())
+    }
+
+    /// Starts the one head of each relay's process, and waits until the voters name all of them.
+    fn start_relays(&mut self) -> Result<(), ScaleError> {
+        if self.plan.relays == 0 {
+            return Ok(());
+        }
+        let ready_when = self.ready_when();
+        for host in self.hosts.iter_mut().filter(|host| host.is_relay) {
+            host.heads = 1;
+            host.tell(HostCommand::Start { count: 1, within_ms: 0, ready_when })?;
+            host.answer()?;
+        }
+        self.wait_until_ready()?;
+        self.stop.pause(RELAYS_NAMED)
+    }
+
     /// Real heads.
     pub fn real_heads(&self) -> u64 {
         self.harness.count() as u64
@@ -150,10 +188,11 @@
         let missing = heads.saturating_sub(self.heads());
         let within_ms = (START_SPREAD_PER_HEAD * missing as u32).as_millis() as u64;
         let ready_when = self.ready_when();
-        let hollow = heads.saturating_sub(self.real_heads());
-        let hosts = self.hosts.len() as u64;
+        let hollow = self.plan.hollow_heads(heads);
+        let hosts = hosts_of(&self.plan);
         let mut told = Vec::new();
-        for (number, host) in (0..hosts).zip(&mut self.hosts) {
+        let sharing = self.hosts.iter_mut().filter(|host| !host.is_relay);
+        for (number, host) in (0..hosts).zip(sharing) {
             let share = hollow / hosts + u64::from(number < hollow % hosts);
             let count = share.saturating_sub(host.heads);
             if count > 0 {
