--- a/deploy/targets/two-years.sexp
+++ b/deploy/targets/two-years.sexp
@@ -12,7 +12,8 @@
   (ordinary-day (machine-failures 42) (restarts 4700))
   ; What a head spends on control at the most.
   (head-budget (cpu-percent 1.1) (memory-bytes 256000000) (bytes-per-second 8000))
-  ; Machines for control alone. How many voters and relays run on them is our choice, and the budgets of one voter or
-  ; relay are assumed: one core for its one thread, the memory of a head, a link of 1 Gbit/s.
-  (set-aside (machines 12) (voters 3) (relays 9)
+  ; Machines for control alone: a relay on each, and a voter beside it on three. How many of each run there is our
+  ; choice, and the budgets of one voter or relay are assumed: one core for its one thread, the memory of a head, a link
+  ; of 1 Gbit/s.
+  (set-aside (machines 12) (voters 3) (relays 12)
     (cpu-percent 100) (memory-bytes 256000000) (bytes-per-second 125000000)))
