--- a/crates/rehearse/src/fleet/measure.rs
+++ b/crates/rehearse/src/fleet/measure.rs
@@ -3,6 +3,7 @@
 
 use super::harness::Harness;
 use crate::report::table;
+use crate::scale::process::Usage;
 use hdrhistogram::Histogram;
 use std::io::Write;
 use std::path::Path;
@@ -10,6 +11,8 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
+const MIB: f64 = 1024.0 * 1024.0;
+
 /// The cost of one small synced write on a disk, in microseconds, as (median, 99th percentile).
 fn bare_sync(folder: &Path) -> Result<(u64, u64), String> {
     let failed = |error: std::io::Error| error.to_string();
@@ -88,18 +91,10 @@
     Ok(table(&head, rows))
 }
 
-/// CPU time of a process in microseconds, and its memory in kilobytes.
-fn cost(process: u32) -> Option<(u64, u64)> {
-    let threads = std::fs::read_dir(format!("/proc/{process}/task")).ok()?;
-    let each = threads.flatten().filter_map(|thread| {
-        let text = std::fs::read_to_string(thread.path().join("schedstat")).ok()?;
-        text.split(' ').next()?.parse::<u64>().ok()
-    });
-    let cpu = each.sum::<u64>() / 1000;
-    let status = std::fs::read_to_string(format!("/proc/{process}/status")).ok()?;
-    let held =
-        status.lines().find_map(|line| line.strip_prefix("VmRSS:")?.split_whitespace().next()?.parse().ok());
-    Some((cpu, held?))
+/// What each process of a fleet has taken of the machine by now.
+fn usages(harness: &Harness) -> Result<Vec<Usage>, String> {
+    let processes = harness.up().into_iter().filter_map(|head| harness.process(head));
+    processes.map(|process| Usage::of(process).map_err(|error| error.to_string())).collect()
 }
 
 /// What heads take of the machine, idle and at 50 changes a second, with three voters among so many.
@@ -118,8 +113,7 @@
     let mut rows = Vec::new();
     for rate in [0, 50] {
         std::thread::sleep(Duration::from_secs(2));
-        let processes: Vec<u32> = harness.up().into_iter().filter_map(|head| harness.process(head)).collect();
-        let before: Vec<_> = processes.iter().map(|process| cost(*process)).collect();
+        let before = usages(&harness)?;
         let begun = Instant::now();
         let mut lags = histogram()?;
         let (mut writer, mut reader) = (harness.caller(0), harness.caller(heads - 1));
@@ -145,14 +139,11 @@
                 }
             }
         }
-        let took = begun.elapsed().as_micros() as f64;
-        let shares: Vec<(f64, u64)> = processes
+        let after = usages(&harness)?;
+        let shares: Vec<(f64, u64)> = before
             .iter()
-            .zip(&before)
-            .filter_map(|(process, before)| {
-                let (now, held) = cost(*process)?;
-                Some((100.0 * (now - before.as_ref()?.0) as f64 / took, held))
-            })
+            .zip(&after)
+            .map(|(before, after)| (after.cpu_percent_since(before), after.memory_bytes))
             .collect();
         for (what, part) in [("keepers", &shares[..3]), ("followers", &shares[3..])] {
             let mean = part.iter().map(|(share, _)| share).sum::<f64>() / part.len().max(1) as f64;
@@ -170,7 +161,7 @@
                 what.to_owned(),
                 format!("{mean:.2}"),
                 format!("{most:.2}"),
-                format!("{:.1}", held as f64 / 1024.0),
+                format!("{:.1}", held as f64 / MIB),
                 lag,
             ]);
         }
