--- a/crates/rehearse/src/main.rs
+++ b/crates/rehearse/src/main.rs
@@ -8,7 +8,8 @@
 use sedgerun_rehearse::fleet::{self, InjectedBug};
 use sedgerun_rehearse::report::{Chart, compare_table, figure, lines, page, spread_table, table};
 use sedgerun_rehearse::scale::arguments::ScaleArguments;
-use sedgerun_rehearse::scale::{self, discovery, host, host_process};
+use sedgerun_rehearse::scale::data_path::command::DataPathArgs;
+use sedgerun_rehearse::scale::{self, data_path, discovery, host, host_process};
 use sedgerun_rehearse::scenario::Scenario;
 use sedgerun_rehearse::simulator;
 use sedgerun_rehearse::{experiment, sockets};
@@ -177,6 +178,15 @@
     /// Run the stand-in for discovery, told what to do on standard input: a process of scale runs
     #[command(hide = true)]
     ScaleDiscovery,
+    /// Run backends that answer at once: a process of data-path
+    #[command(hide = true)]
+    ScaleBackends {
+        /// How many
+        #[arg(long)]
+        listeners: usize,
+    },
+    /// What requests through one head cost, by the number of backends, as a table
+    DataPath(DataPathArgs),
     Capacity(CapacityArguments),
     /// Write tables and charts of all results in a folder, as its README.md
     Report {
@@ -299,6 +309,11 @@
             discovery::run().map_err(plain)?;
             Ok(true)
         }
+        Command::ScaleBackends { listeners } => {
+            data_path::run_backends(listeners).map_err(plain)?;
+            Ok(true)
+        }
+        Command::DataPath(args) => data_path::command::run(&args).map_err(plain),
         // Dealt with before all else.
         Command::Serve { .. } => Ok(true),
         Command::Capacity(arguments) => work_out_capacity(&arguments),
--- a/crates/rehearse/src/scale/discovery/control.rs
+++ b/crates/rehearse/src/scale/discovery/control.rs
@@ -3,13 +3,13 @@
 use super::catalog::{Catalog, HISTORY};
 use super::server::Server;
 use super::traffic::Report;
+use crate::scale::json_lines::{print_line, read_lines};
 use serde::{Deserialize, Serialize};
-use std::io::{self, BufRead, Read, Write};
+use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::net::TcpListener;
-use tokio::sync::mpsc;
 use tokio::task::LocalSet;
 
 /// The most backends that a list may have.
@@ -18,8 +18,6 @@
 const MOST_REPLACEMENTS: f64 = 10_000.0;
 /// The longest that the service may be told to be down.
 const LONGEST_DOWN: Duration = Duration::from_secs(600);
-/// The longest command, bytes: [`MOST_BACKENDS`] addresses.
-const MOST_COMMAND: u64 = 4 << 20;
 
 /// The first line of the program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -112,30 +110,6 @@
     Ok(())
 }
 
-/// The lines of standard input. They are read on a thread of their own, which does not outlive the process and
-/// which the end of the program does not wait for.
-fn read_lines() -> mpsc::Receiver<String> {
-    let (sender, lines) = mpsc::channel(1);
-    std::thread::spawn(move || {
-        let mut input = io::stdin().lock();
-        loop {
-            let mut line = String::new();
-            match (&mut input).take(MOST_COMMAND).read_line(&mut line) {
-                Ok(1..) if sender.blocking_send(line).is_ok() => {}
-                _ => return,
-            }
-        }
-    });
-    lines
-}
-
-fn print_line(line: &impl Serialize) -> io::Result<()> {
-    let text = serde_json::to_string(line)?;
-    let mut output = io::stdout().lock();
-    writeln!(output, "{text}")?;
-    output.flush()
-}
-
 fn refused(reason: impl ToString) -> Reply {
     Reply::Refused { reason: reason.to_string() }
 }
--- a/crates/rehearse/src/scale/discovery/mod.rs
+++ b/crates/rehearse/src/scale/discovery/mod.rs
@@ -10,6 +10,7 @@
 mod server;
 mod traffic;
 
-pub use client::{DiscoveryError, DiscoveryProcess};
+pub use super::json_lines::ConversationError as DiscoveryError;
+pub use client::DiscoveryProcess;
 pub use control::{Command, Listening, MOST_BACKENDS, Reply, run};
 pub use traffic::{PeerTraffic, Report, Traffic};
