--- a/crates/head/src/back/http.rs
+++ b/crates/head/src/back/http.rs
@@ -2,6 +2,7 @@
 
 use super::Reply;
 use super::answer::{Room, Taken, Whole};
+use super::pool::ClientPool;
 use crate::descriptors::Descriptors;
 use crate::ids::HeldId;
 use crate::traffic::Traffic;
@@ -20,7 +21,6 @@
 use sedgerun_core::exchange::Ended;
 use sedgerun_decide::api::{Ending, Micros};
 use std::cell::RefCell;
-use std::collections::BTreeMap;
 use std::io;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -68,10 +68,12 @@
 /// The HTTP client of the program: one with a pool of connections for each address, so that those to a node
 /// that is no more are closed with it.
 pub struct HttpBack {
-    clients: RefCell<BTreeMap<SocketAddr, Client>>,
+    clients: RefCell<ClientPool<Client>>,
     spans: Spans,
     room: Room,
     descriptors: Descriptors,
+    /// Descriptors that connections kept to nodes leave free.
+    spare: usize,
 }
 
 /// A client that queues nothing, follows nothing, and has no clock but the caller's. It opens a connection while
@@ -112,9 +114,10 @@
 }
 
 impl HttpBack {
-    /// A client with these spans, and this room for answers.
-    pub fn new(spans: Spans, room: Room, descriptors: Descriptors) -> HttpBack {
-        HttpBack { clients: RefCell::default(), spans, room, descriptors }
+    /// A client with these spans, and this room for answers. Where it would leave fewer descriptors than `spare`,
+    /// a connection to another node comes in place of the one that rested longest.
+    pub fn new(spans: Spans, room: Room, descriptors: Descriptors, spare: usize) -> HttpBack {
+        HttpBack { clients: RefCell::default(), spans, room, descriptors, spare }
     }
 
     /// Closes all idle connections. Those in use stay until their attempts end.
@@ -124,21 +127,32 @@
 
     /// Closes the idle connections to an address, and those in use once their attempts end.
     pub fn forget(&self, address: SocketAddr) {
-        self.clients.borrow_mut().remove(&address);
+        self.clients.borrow_mut().remove(address);
     }
 
-    /// Makes one attempt. Dropping the future closes its connection.
-    pub async fn attempt(&self, address: SocketAddr, left: Micros, job: &HttpJob) -> Ended<Reply> {
+    /// The client of an address.
+    fn client(&self, address: SocketAddr) -> Client {
+        let mut clients = self.clients.borrow_mut();
         if self.descriptors.left() == 0 {
             // Idle connections to other nodes make room for one to this.
-            self.clients.borrow_mut().retain(|other, _| *other == address);
+            clients.retain_only(address);
+        }
+        if let Some(client) = clients.get(address) {
+            return client;
+        }
+        // Guards against more nodes than there are descriptors: were these to run out, all idle connections would
+        // be closed at once, time and again, and hardly one be used twice.
+        if self.descriptors.left() <= self.spare {
+            clients.remove_least_recent();
         }
-        let client = self
-            .clients
-            .borrow_mut()
-            .entry(address)
-            .or_insert_with(|| client(self.spans, &self.room, &self.descriptors, 1, None))
-            .clone();
+        let client = client(self.spans, &self.room, &self.descriptors, 1, None);
+        clients.insert(address, client.clone());
+        client
+    }
+
+    /// Makes one attempt. Dropping the future closes its connection.
+    pub async fn attempt(&self, address: SocketAddr, left: Micros, job: &HttpJob) -> Ended<Reply> {
+        let client = self.client(address);
         let url = format!("http://{address}{}", job.target);
         let mut request = client
             .request(job.method.clone(), url)
--- a/crates/head/src/back/mod.rs
+++ b/crates/head/src/back/mod.rs
@@ -3,6 +3,7 @@
 pub mod answer;
 pub mod http;
 pub mod ninep;
+pub mod pool;
 
 use crate::descriptors::Descriptors;
 use bytes::Bytes;
--- a/crates/head/src/head.rs
+++ b/crates/head/src/head.rs
@@ -130,7 +130,7 @@
     let spans = Spans { dial, idle };
     let room = Room::new(config.bounds.answers, config.bounds.answer);
     let descriptors = Descriptors::new(config.sockets);
-    let http = HttpBack::new(spans, room, descriptors.clone());
+    let http = HttpBack::new(spans, room, descriptors.clone(), 2 * config.bounds.boxes);
     let backs = Backs::new(http, NinepBack::new(spans.dial, descriptors.clone()), descriptors);
     for node in &config.operator.boxes {
         backs.ninep.addresses.borrow_mut().insert(backs.names.node(&node.id), node.address);
