--- a/crates/rehearse/src/scale/hollow.rs
+++ b/crates/rehearse/src/scale/hollow.rs
@@ -22,6 +22,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::net::TcpListener;
+use tokio::runtime::Handle;
 use tokio::sync::watch;
 use tokio::task::{AbortHandle, spawn_local};
 
@@ -73,7 +74,8 @@
 impl Drop for Running {
     fn drop(&mut self) {
         self.tasks.iter().for_each(AbortHandle::abort);
-        if let Some(node) = self.node.take() {
+        // Where the process ends there is no runtime left in which a node could end by itself.
+        if let Some(node) = self.node.take().filter(|_| Handle::try_current().is_ok()) {
             node.end();
         }
     }
--- a/crates/rehearse/tests/scale.rs
+++ b/crates/rehearse/tests/scale.rs
@@ -81,6 +81,8 @@
     assert!(output.status.success(), "{said}{}", String::from_utf8_lossy(&output.stderr));
     let results = read(&file);
     assert!(results.complete, "{:?}", results.not_run);
+    let errors = String::from_utf8_lossy(&output.stderr).into_owned();
+    assert!(!errors.contains("panicked"), "{errors}");
     assert_eq!(results.points.len(), 2);
     for point in &results.points {
         assert_eq!((point.heads, point.backends, point.reached), (ALL, 50, ALL), "{said}");
