--- a/crates/decide/src/control.rs
+++ b/crates/decide/src/control.rs
@@ -64,9 +64,9 @@
 const ASK_PART: Micros = 25_000;
 /// The longest wait (us): news counts as told 6 s after the list's service has it, its answer read by then.
 const ASK_TOP: f64 = 4.5e6;
-/// Dispatchers up to which each has its even part of what a backend in slow start bears, whoever asks for it.
+/// Dispatchers up to which each has its even part of the allowance for chance at a backend in slow start.
 const FEW_DISPATCHERS: u32 = 8;
-/// Part of its even part that one of more dispatchers adds to its thinned demand: all come to N then.
+/// Part of its even part that a dispatcher adds to its thinned demand: all come to N then.
 const EVEN_PART: f64 = 0.3;
 /// Nodes drawn for a new object to choose from: a few keep stale news from sending all to one node, and
 /// the cost flat in fleet size.
@@ -355,11 +355,10 @@
     }
 
     /// Units that this dispatcher may send now without overloading a backend in slow start. A bucket fills
-    /// with its part of what the backend bears, which grows as it warms. Few dispatchers share that evenly,
-    /// with what the rule puts down to chance less what each may have saved, so that the bound holds however
-    /// they ask. In a large fleet, where few ask at any one backend, each has less of its even part, and what
-    /// it is usually asked for here, thinned by half of the tipping point. A part smaller than a request is
-    /// saved up; the debt after it keeps the rate, the random first fill keeps all from sending at once.
+    /// with what it is usually asked for here, thinned by half of the tipping point, and less than an even
+    /// part of what the settings say it always bears; both grow as it warms. Few dispatchers share what the
+    /// rule puts down to chance as well, less what each may have saved. A part smaller than a request is saved
+    /// up; the debt after it keeps the rate, and the random first fill keeps all from sending at once.
     fn slow_start_room(&mut self, settings: &Settings, now: Micros) -> f64 {
         let rules = &settings.rules;
         let age = now.saturating_sub(self.came_up);
@@ -371,18 +370,15 @@
         let mean = settings.mean_units.max(1e-3);
         let borne = rules.cold_units.max(mean) * warm;
         let dispatchers = f64::from(settings.dispatchers.max(1));
-        let even = borne / dispatchers;
         let second = SECOND as f64 / rules.fall as f64;
-        let (part, cap) = if settings.dispatchers <= FEW_DISPATCHERS {
-            // Half of the two roots and two calls that the rule puts down to chance.
-            let chance = mean * ((borne / mean).sqrt() + 1.0) / dispatchers;
-            let saved = chance.max(mean);
-            (even + (2.0 * chance - saved).max(0.0), saved)
-        } else {
-            let thinned = rules.tip_multiple / 2.0 * begin * warm * self.usual / second;
-            let part = if self.usual > 0.0 { thinned + EVEN_PART * even } else { even };
-            (part, part / 10.0)
-        };
+        // Half of the two roots and two calls that the rule puts down to chance.
+        let chance = mean * ((borne / mean).sqrt() + 1.0) / dispatchers;
+        let saved = chance.max(mean);
+        let few = settings.dispatchers <= FEW_DISPATCHERS;
+        let even = borne / dispatchers + if few { (2.0 * chance - saved).max(0.0) } else { 0.0 };
+        let thinned = rules.tip_multiple / 2.0 * begin * warm * self.usual / second;
+        let part = if self.usual > 0.0 { thinned + EVEN_PART * even } else { even };
+        let cap = if few { saved } else { part / 10.0 };
         let room = self.slow_start.fill(now, part * second, cap);
         if room >= cap { f64::INFINITY } else { room }
     }
