--- a/crates/decide/src/api.rs
+++ b/crates/decide/src/api.rs
@@ -256,8 +256,10 @@
     Full,
     /// No answer in time; it may have run.
     Timeout,
-    /// No connection; it did not run.
+    /// The connection was refused or broke before the request left; it did not run.
     ConnectFailed,
+    /// The connection did not come up in time; it did not run.
+    ConnectTimeout,
     /// The connection broke; it may have run.
     Reset,
     /// Called off; it may have run.
--- a/crates/decide/src/control.rs
+++ b/crates/decide/src/control.rs
@@ -357,8 +357,8 @@
     /// Units that this dispatcher may send now without overloading a backend in slow start. A bucket fills
     /// with what it is usually asked for here, thinned by half of the tipping point, and less than an even
     /// part of what the settings say it always bears; both grow as it warms. Few dispatchers share what the
-    /// rule puts down to chance as well, less what each may have saved. A part smaller than a request is saved
-    /// up; the debt after it keeps the rate, and the random first fill keeps all from sending at once.
+    /// rule puts down to chance as well, less what each may have saved. A part smaller than a request is
+    /// saved up; the debt after it keeps the rate, and the random first fill keeps all from sending at once.
     fn slow_start_room(&mut self, settings: &Settings, now: Micros) -> f64 {
         let rules = &settings.rules;
         let age = now.saturating_sub(self.came_up);
@@ -759,14 +759,14 @@
         let Some(attempt) = self.attempts.remove(&(id, outcome.attempt)) else { return };
         let name = attempt.node;
         // Guards against a crowd at a process that has just started: where one request of each dispatcher is
-        // more than it bears together, a refused connection makes it count as new before any list tells.
-        // Harms one whose connections were only full, by a slow start.
+        // more than it bears together, a refused connection makes it count as new before any list tells, and
+        // so do a few in a row that did not come up. Harms one whose connections were full, by a slow start.
         let (rules, mean) = (&self.settings.rules, self.settings.mean_units);
         let crowd = f64::from(self.settings.dispatchers) * mean > 2.0 * rules.cold_units && rules.fall > 0;
-        let refused = crowd && outcome.ending == Ending::ConnectFailed;
-        let debt = if refused { self.draw() * mean } else { 0.0 };
+        let debt = if crowd { self.draw() * mean } else { 0.0 };
         if let Some(node) = self.nodes.get_mut(&name) {
-            if refused {
+            let silent = outcome.ending == Ending::ConnectTimeout && node.missed + 1 >= DOWN_MISSES;
+            if crowd && (silent || outcome.ending == Ending::ConnectFailed) {
                 (node.came_up, node.slow_start) = (now, Bucket { tokens: -debt, at: now });
             }
             node.out = node.out.saturating_sub(u32::from(attempt.overtaken < STUCK));
@@ -844,7 +844,7 @@
                 node.heard = now;
                 node.bound = (node.bound * BOUND_CUT).max(1.0);
             }
-            Ending::ConnectFailed | Ending::Reset => {
+            Ending::ConnectFailed | Ending::ConnectTimeout | Ending::Reset => {
                 // Guards against taking kept connections that were closed without a word for a node that is
                 // down: one that answered a moment ago is there. Harms one that dies then, by a few attempts.
                 let there = outcome.ending == Ending::Reset && now < node.told + node.aim;
--- a/crates/decide/tests/failures.rs
+++ b/crates/decide/tests/failures.rs
@@ -656,3 +656,33 @@
     assert!(sent(3) > 0, "a small fleet tries again at once");
     assert_eq!(sent(100), 0, "a large one waits for its part");
 }
+
+#[test]
+fn connections_that_come_up_late_make_a_backend_count_as_new_only_where_a_few_in_a_row_do() {
+    let sent_after = |timeouts: u32| {
+        let settings = Settings { dispatchers: 100, ..settings() };
+        let mut controller = Controller::new(settings, 5);
+        let mut actions = Vec::new();
+        let list = Event::List { scope: Scope::Full, nodes: vec![listed(1, 3, 0, Readiness::Ready)] };
+        controller.handle(SECOND, list, &mut actions);
+        let mut now = 2 * SECOND;
+        let mut sent = 0;
+        for id in 1..timeouts + 6 {
+            actions.clear();
+            let asked = Event::Request(request(id, 2, Some(3), now + 4 * SECOND));
+            controller.handle(now, asked, &mut actions);
+            let left = actions.iter().any(|action| matches!(action, Action::Send { .. }));
+            sent += u32::from(left && id > timeouts);
+            let ending = if id > timeouts { Ending::Ok } else { Ending::ConnectTimeout };
+            now += 10 * MS;
+            let over = Outcome { over: true, ..ended(id, 0, 1, ending, 10 * MS) };
+            controller.handle(now, Event::Outcome(over), &mut actions);
+            // Past the wait for a trial of one that is down.
+            now += if id == timeouts { 600 * MS } else { 10 * MS };
+        }
+        sent
+    };
+    assert_eq!(sent_after(1), 5, "one late connection is the link's doing");
+    assert_eq!(sent_after(2), 5, "so may be two");
+    assert_eq!(sent_after(3), 0, "three may be a process that has just started");
+}
--- a/crates/head/src/back/http.rs
+++ b/crates/head/src/back/http.rs
@@ -226,6 +226,7 @@
         {
             Ending::Moot
         }
+        SendRequestError::Connect(ConnectError::Timeout) => Ending::ConnectTimeout,
         SendRequestError::Connect(_) | SendRequestError::Send(_) | SendRequestError::Url(_) => {
             Ending::ConnectFailed
         }
--- a/crates/head/src/back/ninep.rs
+++ b/crates/head/src/back/ninep.rs
@@ -452,7 +452,7 @@
     }
 
     /// The connection to a box. Attempts that find none wait for the one that makes it.
-    async fn connection(&self, node: NodeId, address: SocketAddr) -> Result<Rc<Connection>, Lost> {
+    async fn connection(&self, node: NodeId, address: SocketAddr) -> Result<Rc<Connection>, Ending> {
         let slot = Rc::clone(self.slots.borrow_mut().entry(node).or_default());
         let mut held = slot.lock().await;
         if let Some(connection) = held.as_ref().filter(|connection| connection.usable()) {
@@ -463,15 +463,17 @@
         }
         let made = tokio::time::timeout(self.dial, Connection::open(address, self.descriptors.take()))
             .await
-            .map_err(|_| Lost)??;
+            .map_err(|_| Ending::ConnectTimeout)?
+            .map_err(|Lost| Ending::ConnectFailed)?;
         *held = Some(Rc::clone(&made));
         Ok(made)
     }
 
     /// Makes one attempt. Dropping the future flushes what it has out.
     pub async fn attempt(&self, node: NodeId, address: SocketAddr, job: &NinepJob) -> Ended<Reply> {
-        let Ok(connection) = self.connection(node, address).await else {
-            return Ended::bare(Ending::ConnectFailed);
+        let connection = match self.connection(node, address).await {
+            Ok(connection) => connection,
+            Err(ending) => return Ended::bare(ending),
         };
         let sent = Cell::new(false);
         Begun::mark();
--- a/crates/head/src/hub.rs
+++ b/crates/head/src/hub.rs
@@ -134,7 +134,8 @@
     /// Tells how an attempt ended.
     pub fn outcome(self: &Rc<Self>, id: RequestId, attempt: u8, ended: Ended<Reply>) {
         let flew = self.flights.borrow_mut().remove(&(id, attempt)).is_some();
-        let written = !matches!(ended.ending, Ending::ConnectFailed | Ending::Moot);
+        let unwritten = [Ending::ConnectFailed, Ending::ConnectTimeout, Ending::Moot];
+        let written = !unwritten.contains(&ended.ending);
         if flew && written {
             self.relayed(id);
         }
