--- a/crates/rehearse/src/scale/host.rs
+++ b/crates/rehearse/src/scale/host.rs
@@ -3,12 +3,12 @@
 
 use super::error::ScaleError;
 use super::hollow::{HollowHead, Surroundings};
+use super::json_lines::{print_line, read_lines};
 use super::network::ZoneNetwork;
 use super::protocol::{HeadReport, HostAnswer, HostCommand, HostSpec, ReadyWhen};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::cell::RefCell;
-use std::io::{self, BufRead, Write};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::mpsc;
@@ -16,8 +16,6 @@
 
 /// Between samples of the heads' traffic.
 const SAMPLE: Duration = Duration::from_secs(1);
-/// Lines that wait to be obeyed.
-const MOST_LINES: usize = 16;
 
 /// Runs a host process until its input ends.
 pub fn run() -> Result<(), ScaleError> {
@@ -125,25 +123,3 @@
         }
     }
 }
-
-/// The lines of standard input. They are read on a thread of their own, which the end of the process does not wait
-/// for.
-fn read_lines() -> mpsc::Receiver<String> {
-    let (sender, lines) = mpsc::channel(MOST_LINES);
-    std::thread::spawn(move || {
-        for line in io::stdin().lock().lines() {
-            let Ok(line) = line else { return };
-            if sender.blocking_send(line).is_err() {
-                return;
-            }
-        }
-    });
-    lines
-}
-
-fn print_line(answer: &HostAnswer) -> io::Result<()> {
-    let text = serde_json::to_string(answer)?;
-    let mut output = io::stdout().lock();
-    writeln!(output, "{text}")?;
-    output.flush()
-}
