--- a/crates/fleet/src/peer.rs
+++ b/crates/fleet/src/peer.rs
@@ -24,7 +24,8 @@
     pub zone: Option<String>,
     /// The version that it holds.
     pub version: u64,
-    /// Its incarnation.
+    /// Its incarnation; `fleet status --json` gives it by its deprecated name, too.
+    #[serde(rename = "life")]
     pub incarnation: u64,
 }
 
