--- a/crates/rehearse/src/fleet/harness.rs
+++ b/crates/rehearse/src/fleet/harness.rs
@@ -73,11 +73,14 @@
     pub fn begin_with(program: &Path, layout: &HarnessLayout) -> Result<Harness, String> {
         let (voters, heads) = (layout.voters, layout.heads);
         let root = std::env::temp_dir().join(format!("sedgerun-store-{}-{heads}", std::process::id()));
-        // All ports are held until the last is found, so that none comes twice.
-        let held: Result<Vec<TcpListener>, _> =
-            (0..PORTS * heads).map(|_| TcpListener::bind((Ipv4Addr::LOCALHOST, 0))).collect();
-        let ports: Result<Vec<SocketAddr>, _> =
-            held.map_err(text)?.iter().map(TcpListener::local_addr).collect();
+        // Each port is held until its head starts, so that none comes twice and no connection takes it meanwhile.
+        let mut held: Vec<Vec<TcpListener>> = Vec::new();
+        for _ in 0..heads {
+            let listeners: Result<Vec<TcpListener>, _> =
+                (0..PORTS).map(|_| TcpListener::bind((Ipv4Addr::LOCALHOST, 0))).collect();
+            held.push(listeners.map_err(text)?);
+        }
+        let ports: Result<Vec<SocketAddr>, _> = held.iter().flatten().map(TcpListener::local_addr).collect();
         let ports = ports.map_err(text)?;
         let scenario = Scenario::read("(scenario store (seconds 1) (heads 1) (boxes 1))").map_err(text)?;
         let settings = Drawn::new(&scenario, 1).map_err(text)?.json;
@@ -102,6 +105,7 @@
             std::fs::write(folder.join("config.json"), config.to_string()).map_err(text)?;
             std::fs::write(folder.join("operator.sexp"), operator).map_err(text)?;
             harness.heads.push(Head { folder, admin, operators, child: None });
+            held[head].clear();
             harness.start(head)?;
         }
         let settings = harness.settings(0)?;
