--- a/crates/rehearse/src/fleet/harness.rs
+++ b/crates/rehearse/src/fleet/harness.rs
@@ -13,6 +13,9 @@
 use std::time::{Duration, Instant};
 
 const TOKEN: &str = "known-to-the-harness-alone";
+/// Second octets of the fleets' own loopback addresses.
+const FIRST_OWN_NETWORK: u8 = 64;
+const OWN_NETWORKS: u8 = 64;
 /// Ports of a head: for the fleet, for administration, for clients and for operators.
 const PORTS: usize = 4;
 /// A port at which nobody listens: `discard`.
@@ -27,6 +30,13 @@
     child: Option<Child>,
 }
 
+/// A loopback address for each process that runs a fleet: beside others on one machine, none takes a port of another
+/// between its choice and the start of the head that listens there.
+fn own_address() -> Ipv4Addr {
+    let [high, middle, low] = [16, 8, 0].map(|shift| (std::process::id() >> shift) as u8);
+    Ipv4Addr::new(127, FIRST_OWN_NETWORK + high % OWN_NETWORKS, middle, low)
+}
+
 /// What a fleet of processes is made up of.
 #[derive(Clone, Debug)]
 pub struct HarnessLayout {
@@ -77,7 +87,7 @@
         let mut held: Vec<Vec<TcpListener>> = Vec::new();
         for _ in 0..heads {
             let listeners: Result<Vec<TcpListener>, _> =
-                (0..PORTS).map(|_| TcpListener::bind((Ipv4Addr::LOCALHOST, 0))).collect();
+                (0..PORTS).map(|_| TcpListener::bind((own_address(), 0))).collect();
             held.push(listeners.map_err(text)?);
         }
         let ports: Result<Vec<SocketAddr>, _> = held.iter().flatten().map(TcpListener::local_addr).collect();
