--- a/crates/head/tests/relays.rs
+++ b/crates/head/tests/relays.rs
@@ -240,7 +240,8 @@
     let mut harness = laid(&["r1"], &["r1"; 3]);
     let heads = 4..7;
     (0..7).filter(|head| *head != 3).for_each(|head| harness.up(head));
-    assert!(harness.ask(0, &["begin"]).status.success());
+    let begun = harness.ask(0, &["begin"]);
+    assert!(begun.status.success(), "{}", String::from_utf8_lossy(&begun.stderr));
     settle(&[harness.api(0)], "horvat", "first");
     assert!(in_force(&harness, &[4, 5, 6], "first") <= 2 * IN_FORCE);
     assert!(heads.clone().all(|head| upstream(&harness, head).is_some_and(|at| at < VOTERS)));
