--- a/crates/rehearse/src/scale/faults.rs
+++ b/crates/rehearse/src/scale/faults.rs
@@ -173,6 +173,9 @@
         record.struck += stopped;
         stopped_at.push((number, stopped));
     }
+    if record.struck == 0 {
+        record.failures.push("no upstream was there to be stopped".to_owned());
+    }
     let settled = settle_again(fleet, record)?;
     check_in_force(fleet, record, settled, |_| true)?;
     let restart =
@@ -186,7 +189,8 @@
     fleet.wait_until_ready()
 }
 
-/// The processes whose upstreams are stopped: a relay of each region that keeps another, or all where there are none.
+/// The processes whose upstreams are stopped: a relay of each region that keeps another, or one where no region has two;
+/// all processes where there are no relays.
 fn upstream_hosts(fleet: &ScaleFleet) -> Vec<usize> {
     let relays: Vec<usize> = (0..fleet.hosts.len()).filter(|host| fleet.hosts[*host].is_relay).collect();
     if relays.is_empty() {
@@ -198,7 +202,10 @@
     };
     let mut struck = BTreeSet::new();
     let victims = relays.iter().filter(keeps_another);
-    victims.filter(|host| struck.insert(fleet.hosts[**host].region)).copied().collect()
+    let victims: Vec<usize> =
+        victims.filter(|host| struck.insert(fleet.hosts[**host].region)).copied().collect();
+    // Where each region has one, the heads of the first go to the relays of others.
+    if victims.is_empty() { relays.into_iter().take(1).collect() } else { victims }
 }
 
 fn heads_where(fleet: &ScaleFleet, which: impl Fn(&HostProcess) -> bool) -> u64 {
