--- a/crates/fleet/src/election.rs
+++ b/crates/fleet/src/election.rs
@@ -47,13 +47,23 @@
     /// The question that is out: its number, who was asked, and who said that they hear nobody.
     asked: Option<(u64, BTreeSet<StoreId>, BTreeSet<StoreId>)>,
     questions: u64,
+    /// A vote of this voter is being written, so far as is known.
+    vote_unsynced: bool,
 }
 
 impl Election {
     /// A voter that begins now.
     pub fn new(timeouts: ElectionTimeouts, seed: u64, now: Millis) -> Election {
         let rng = ChaCha8Rng::seed_from_u64(seed);
-        let mut election = Election { timeouts, rng, last_heartbeat: now, due: 0, asked: None, questions: 0 };
+        let mut election = Election {
+            timeouts,
+            rng,
+            last_heartbeat: now,
+            due: 0,
+            asked: None,
+            questions: 0,
+            vote_unsynced: false,
+        };
         election.due = now + timeouts.leader_timeout_ms + election.draw(timeouts.jitter_ms);
         election
     }
@@ -62,6 +72,12 @@
         if most == 0 { 0 } else { u64::from(self.rng.next_u32()) % (most + 1) }
     }
 
+    /// The time to another try, in milliseconds.
+    fn draw_retry(&mut self) -> Millis {
+        let half = self.timeouts.retry_ms / 2;
+        half + self.draw(half)
+    }
+
     /// A heartbeat of a leader has come in.
     pub fn on_heartbeat(&mut self, now: Millis) {
         self.last_heartbeat = self.last_heartbeat.max(now);
@@ -79,12 +95,25 @@
         now.saturating_sub(self.last_heartbeat)
     }
 
-    /// What is to be done now, by a voter among these.
+    /// A vote of this voter, for itself or for another, is not synced yet. A campaign now would put a newer vote in
+    /// its place before anybody has counted it, and on disks slower than [`ElectionTimeouts::retry_ms`] no
+    /// election would ever be won. The next one waits for the sync, and for the retry's time after it.
+    pub fn on_unsynced_vote(&mut self) {
+        self.vote_unsynced = true;
+        self.asked = None;
+    }
+
+    /// What is to be done now, by a voter among these. It is not called while a vote of this voter is unsynced
+    /// ([`Election::on_unsynced_vote`]).
     pub fn step(&mut self, now: Millis, own: StoreId, voters: &BTreeSet<StoreId>) -> Step {
+        if std::mem::take(&mut self.vote_unsynced) {
+            let retry = now + self.draw_retry();
+            self.due = self.due.max(retry);
+        }
         if now < self.due {
             return Step::Wait(self.due);
         }
-        self.due = now + self.timeouts.retry_ms / 2 + self.draw(self.timeouts.retry_ms / 2);
+        self.due = now + self.draw_retry();
         self.questions += 1;
         let others: BTreeSet<StoreId> = voters.iter().copied().filter(|voter| *voter != own).collect();
         self.asked = Some((self.questions, others.clone(), BTreeSet::new()));
--- a/crates/fleet/tests/election.rs
+++ b/crates/fleet/tests/election.rs
@@ -49,3 +49,40 @@
     });
     assert!(dues.collect::<BTreeSet<_>>().len() > 15);
 }
+
+#[test]
+fn a_campaign_waits_until_the_last_vote_is_synced() {
+    let voters = BTreeSet::from([1]);
+    let mut election = Election::new(ELECTION_TIMEOUTS, 1, 0);
+    let Step::Wait(due) = election.step(0, 1, &voters) else { panic!("at once") };
+    assert_eq!(election.step(due, 1, &voters), Step::Campaign);
+    // The disk takes longer than any retry; the owner reports the vote as unsynced all the while.
+    let synced = due + 10 * ELECTION_TIMEOUTS.retry_ms;
+    for _ in (due..synced).step_by(50) {
+        election.on_unsynced_vote();
+    }
+    let Step::Wait(again) = election.step(synced, 1, &voters) else { panic!("right behind the sync") };
+    assert!((200..=400).contains(&(again - synced)), "{again}");
+    assert_eq!(election.step(again - 1, 1, &voters), Step::Wait(again));
+    assert_eq!(election.step(again, 1, &voters), Step::Campaign);
+}
+
+#[test]
+fn answers_do_not_count_while_a_vote_for_another_is_written() {
+    let mut election = Election::new(ELECTION_TIMEOUTS, 1, 0);
+    let (due, question) = silent(&mut election);
+    election.on_unsynced_vote();
+    for from in 2..=5 {
+        assert!(matches!(election.on_answer(due, question, from, true), Step::Wait(_)));
+    }
+}
+
+#[test]
+fn a_synced_vote_brings_no_campaign_forward() {
+    let voters = BTreeSet::from([1, 2, 3]);
+    let mut election = Election::new(ELECTION_TIMEOUTS, 1, 0);
+    election.on_heartbeat(1000);
+    let Step::Wait(due) = election.step(1000, 1, &voters) else { panic!("beside a leader") };
+    election.on_unsynced_vote();
+    assert_eq!(election.step(1001, 1, &voters), Step::Wait(due));
+}
--- a/crates/head/src/fleet/log.rs
+++ b/crates/head/src/fleet/log.rs
@@ -22,6 +22,8 @@
     entries: BTreeMap<u64, Entry>,
     purged: Option<LogId>,
     vote: Option<Vote>,
+    /// Votes given to the disk and not synced yet.
+    unsynced_votes: usize,
     committed: Option<LogId>,
 }
 
@@ -39,7 +41,15 @@
         vote: Option<Vote>,
         committed: Option<LogId>,
     ) -> Log {
-        Log { disk, inner: Arc::new(Mutex::new(Inner { entries, purged, vote, committed })) }
+        Log {
+            disk,
+            inner: Arc::new(Mutex::new(Inner { entries, purged, vote, unsynced_votes: 0, committed })),
+        }
+    }
+
+    /// Whether a vote of this voter is on its way to the disk.
+    pub fn has_unsynced_vote(&self) -> bool {
+        self.lock().unsynced_votes > 0
     }
 
     /// Its last entry, or the last that a snapshot replaced.
@@ -75,8 +85,13 @@
     }
 
     async fn save_vote(&mut self, vote: &Vote) -> Result<(), StorageError> {
-        self.lock().vote = Some(*vote);
+        {
+            let mut inner = self.lock();
+            inner.vote = Some(*vote);
+            inner.unsynced_votes += 1;
+        }
         let saved = self.disk.put(RecordType::Vote, "vote", vote).await;
+        self.lock().unsynced_votes -= 1;
         saved.map_err(|what| fault(ErrorVerb::Write, &what))
     }
 
--- a/crates/head/src/fleet/recovery.rs
+++ b/crates/head/src/fleet/recovery.rs
@@ -80,7 +80,10 @@
 
     /// Whether this voter hears no leader, and would not stand in the way of one whose log ends there.
     pub fn is_silent(&self, last: Option<LogId>) -> bool {
-        self.may_vote() && !self.leads() && !self.election().hears_leader(now()) && last >= self.log.last()
+        // Guards against split votes on slow disks: while this voter writes a vote, another that campaigned would ask
+        // for a newer one before this one is counted.
+        let free = self.may_vote() && !self.log.has_unsynced_vote();
+        free && !self.leads() && !self.election().hears_leader(now()) && last >= self.log.last()
     }
 
     fn may_vote(&self) -> bool {
@@ -100,6 +103,10 @@
             if !self.may_vote() || !self.votes() {
                 continue;
             }
+            if self.log.has_unsynced_vote() {
+                self.election().on_unsynced_vote();
+                continue;
+            }
             let membership = metrics.membership_config.membership();
             let voters: BTreeSet<StoreId> = membership.voter_ids().collect();
             let step = self.election().step(now(), metrics.id, &voters);
@@ -132,6 +139,10 @@
         }
         while let Some(answer) = asked.join_next().await {
             let Ok(Some(store)) = answer else { continue };
+            // Guards against a campaign that overtakes a vote given to another while the answers came in.
+            if self.log.has_unsynced_vote() {
+                return self.election().on_unsynced_vote();
+            }
             let step = self.election().on_answer(now(), question, store, true);
             if step == Step::Campaign {
                 return self.campaign().await;
--- a/crates/head/tests/fleet.rs
+++ b/crates/head/tests/fleet.rs
@@ -269,6 +269,21 @@
     client.join().expect("a client");
 }
 
+#[test]
+fn voters_with_slow_disks_elect_another_leader() {
+    let mut harness = Harness::laid(3, 3);
+    // A vote takes two syncs, its own and that of whoever gives it: longer than the 150 to 300 ms to a retry.
+    for variables in &mut harness.variables {
+        *variables = vec![("FAILPOINTS".to_owned(), "a slow disk=sleep(200)".to_owned())];
+    }
+    harness.begin();
+    let leader = harness.leader(&[0, 1, 2]);
+    harness.kill(leader);
+    let left: Vec<usize> = (0..3).filter(|head| *head != leader).collect();
+    let next = harness.leader(&left);
+    settle(&[harness.api(next)], "horvat", "press");
+}
+
 #[test]
 fn a_leader_started_again_stands_for_election_anew() {
     let mut harness = Harness::begun(3);
