--- a/crates/head/src/fleet/member.rs
+++ b/crates/head/src/fleet/member.rs
@@ -1,13 +1,15 @@
 //! One head as a member of the fleet: a voter or a follower, and its status.
 
 use super::disk::{Disk, Held, Identity};
-use super::environment::{Dial, now, random};
-use super::link::{Links, protocol};
+use super::environment::{now, random};
+use super::link::Links;
 use super::log::Log;
 use super::machine::Machine;
+use super::node_setup::NodeSetup;
 use super::pending::PendingChange;
 use super::settings::Settings;
 use super::types::{Call, LogId, Raft, Reply, Status, Vote, VoterAddress, VoterStatus};
+use super::voter_connection::protocol;
 use openraft::raft::AppendEntriesResponse;
 use openraft::{Config, ServerState, SnapshotPolicy};
 use sedgerun_fleet::election::{Election, ElectionTimeouts};
@@ -17,7 +19,6 @@
 use sedgerun_fleet::transfer_slots::TransferSlots;
 use sedgerun_fleet::watermark::{Incarnation, Watermark};
 use std::collections::BTreeMap;
-use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use tokio::sync::mpsc;
@@ -104,21 +105,15 @@
 }
 
 impl Member {
-    /// Starts a new incarnation of a store; others reach this head at an address.
-    pub async fn start(
-        settings: Settings,
-        head: &str,
-        address: SocketAddr,
-        (disk, held): (Disk, Held),
-        dial: Arc<dyn Dial>,
-        changes: mpsc::Sender<PendingChange>,
-    ) -> Result<Member, String> {
+    /// Starts a new incarnation of a store; its changes go there.
+    pub async fn start(setup: NodeSetup, changes: mpsc::Sender<PendingChange>) -> Result<Member, String> {
+        let NodeSetup { settings, head, address, disk, held, dial } = setup;
         let initial_watermark = held.watermark();
         let Held { identity, vote, committed, purged, log, watermarks, snapshot, followed } = held;
         let own = Greeting {
             fleet: settings.name.clone(),
             secret: settings.secret.clone(),
-            head: head.to_owned(),
+            head: head.clone(),
             store: Some(identity.store),
             zone: settings.zone.clone(),
             address: address.to_string(),
@@ -154,7 +149,7 @@
         let raft = raft.await.map_err(|error| error.to_string())?;
         let seeds = settings.voters.iter();
         let seeds = seeds.map(|(head, at)| Peer { head: head.clone(), address: at.to_string() }).collect();
-        let follower = Follower::new(head, seeds, random()?);
+        let follower = Follower::new(&head, seeds, random()?);
         let follower = follower.with_role(settings.role(), settings.region.clone());
         let followers = Followers::new(settings.role(), settings.follower_capacity());
         Ok(Member {
--- a/crates/head/src/fleet/mod.rs
+++ b/crates/head/src/fleet/mod.rs
@@ -8,11 +8,13 @@
 pub mod environment;
 mod follow;
 pub mod force_recovery;
+mod frame;
 mod link;
 mod log;
 mod machine;
 mod member;
 pub mod node;
+mod node_setup;
 mod peer_connection;
 mod pending;
 mod recovery;
@@ -22,6 +24,7 @@
 pub mod settings;
 pub mod types;
 mod upstream;
+mod voter_connection;
 
 use crate::config::Config;
 use crate::hub::Hub;
@@ -29,7 +32,7 @@
 use crate::traffic::TrafficTotals;
 use environment::{Tcp, random};
 use member::Member;
-use node::Node;
+use node::{Node, NodeSetup};
 pub use pending::Unsettled;
 use sedgerun_fleet::state::{Change, Command, Outcome};
 use sedgerun_fleet::view::{Fields, Tenant};
@@ -84,8 +87,9 @@
                 let listener = tokio::net::TcpListener::from_std(bound).map_err(|error| error.to_string());
                 let node = match listener {
                     Ok(listener) => {
-                        let tcp = Arc::new(Tcp);
-                        let node = Node::start(settings, &name, address, (disk, held), tcp).await;
+                        let dial = Arc::new(Tcp);
+                        let setup = NodeSetup { settings, head: name, address, disk, held, dial };
+                        let node = Node::start(setup).await;
                         node.map(|node| (node, listener))
                     }
                     Err(what) => Err(what),
@@ -104,7 +108,7 @@
         let thread = std::thread::Builder::new().name("fleet".into()).spawn(run);
         thread.map_err(|error| format!("fleet: no thread: {error}"))?;
         let (runtime, member) = starting.recv().map_err(|_| "fleet: ended at its start".to_owned())??;
-        tracing::info!("fleet: {head} holds store {store:016x} in its life {incarnation}");
+        tracing::info!("fleet: {head} holds store {store:016x} in incarnation {incarnation}");
         Ok(Fleet { runtime, member, in_force: watch::Sender::new(0) })
     }
 
--- a/crates/head/src/fleet/node.rs
+++ b/crates/head/src/fleet/node.rs
@@ -1,18 +1,16 @@
 //! One head's part in a fleet with all that it does by itself, on whatever carries it: real sockets and a real disk,
 //! or those of a simulator.
 
-use super::disk::{Disk, Held};
-use super::environment::{Connection, Dial};
+use super::environment::Connection;
 use super::member::Member;
+pub use super::node_setup::NodeSetup;
 use super::pending::{MAX_WAITING, Unsettled};
 use super::serve::serve_connection;
-use super::settings::Settings;
 use super::types::Status;
 use openraft::ServerState;
 use sedgerun_fleet::state::{Change, Outcome};
 use sedgerun_fleet::store::StoreId;
 use sedgerun_fleet::view::View;
-use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::mpsc;
@@ -28,16 +26,13 @@
 }
 
 impl Node {
-    /// Starts a new incarnation of a store; others reach this head at an address.
-    pub async fn start(
-        settings: Settings,
-        head: &str,
-        address: SocketAddr,
-        (disk, held): (Disk, Held),
-        dial: Arc<dyn Dial>,
-    ) -> Result<Node, String> {
+    /// Starts a new incarnation of a store.
+    ///
+    /// # Errors
+    /// What the consensus library cannot begin with, in one line.
+    pub async fn start(setup: NodeSetup) -> Result<Node, String> {
         let (changes, waiting) = mpsc::channel(MAX_WAITING);
-        let member = Member::start(settings, head, address, (disk, held), dial, changes).await?;
+        let member = Member::start(setup, changes).await?;
         let member = Arc::new(member);
         let mut tasks = JoinSet::new();
         tasks.spawn(Arc::clone(&member).write_together(waiting));
--- a/crates/head/src/fleet/peer_connection.rs
+++ b/crates/head/src/fleet/peer_connection.rs
@@ -1,8 +1,8 @@
 //! A connection to one head that is kept for many calls, and what is known of the other end.
 
-use super::link::{CountedConnection, Links, receive, send};
+use super::frame::{CountedConnection, exchange, within};
+use super::link::Links;
 use super::types::{Call, Reply};
-use sedgerun_fleet::record::RecordType;
 use std::io;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -54,13 +54,8 @@
     }
 
     /// One call and its answer. After an error the connection is of no use.
-    pub async fn call(&mut self, call: &Call, within: Duration) -> Result<Reply, CallError> {
-        let exchange = async {
-            send(&mut self.stream, RecordType::Call, call).await?;
-            receive(&mut self.stream, RecordType::Reply).await
-        };
-        let late = |_| Err(io::Error::from(io::ErrorKind::TimedOut));
-        match tokio::time::timeout(within, exchange).await.unwrap_or_else(late) {
+    pub async fn call(&mut self, call: &Call, limit: Duration) -> Result<Reply, CallError> {
+        match within(limit, exchange(&mut self.stream, call)).await {
             Ok(reply) => {
                 self.has_answered = true;
                 Ok(reply)
--- a/crates/head/src/fleet/serve.rs
+++ b/crates/head/src/fleet/serve.rs
@@ -1,7 +1,8 @@
 //! The listener for other heads.
 
 use super::environment::Connection;
-use super::link::{GREETING, receive, send};
+use super::frame::{receive, send, within};
+use super::link::GREETING;
 use super::member::Member;
 use super::types::{Call, Reply};
 use sedgerun_fleet::greeting::{Greeting, Refusal};
@@ -54,21 +55,19 @@
 /// Answers one head for as long as it asks.
 pub async fn serve_connection(member: &Member, stream: Connection) -> io::Result<()> {
     let mut stream = member.links.counted(stream);
-    let late = |_| io::Error::from(io::ErrorKind::TimedOut);
-    let greeting = tokio::time::timeout(GREETING, receive(&mut stream, RecordType::Greeting)).await;
-    let mut theirs: Greeting = greeting.map_err(late)??;
+    let mut theirs: Greeting = within(GREETING, receive(&mut stream, RecordType::Greeting)).await?;
     let own = member.links.own();
     let admitted = member.links.admit(&own, &theirs);
     let words: Result<Greeting, Refusal> = admitted.clone().map(|()| own);
-    tokio::time::timeout(GREETING, send(&mut stream, RecordType::Greeting, &words)).await.map_err(late)??;
+    within(GREETING, send(&mut stream, RecordType::Greeting, &words)).await?;
     if let Err(refusal) = admitted {
         return Err(io::Error::new(io::ErrorKind::PermissionDenied, format!("{} is {refusal}", theirs.head)));
     }
     theirs.secret.clear();
     loop {
-        let call = tokio::time::timeout(IDLE, receive::<Call>(&mut stream, RecordType::Call)).await;
-        let reply = member.answer(call.map_err(late)??, &theirs).await;
-        tokio::time::timeout(ANSWER, send(&mut stream, RecordType::Reply, &reply)).await.map_err(late)??;
+        let call: Call = within(IDLE, receive(&mut stream, RecordType::Call)).await?;
+        let reply = member.answer(call, &theirs).await;
+        within(ANSWER, send(&mut stream, RecordType::Reply, &reply)).await?;
         // Guards against a whole zone that stays connected to a voter which sent it to its relays.
         if let Reply::Subscribed(SubscribeReply::Redirect(_)) = reply {
             return Ok(());
--- a/crates/rehearse/src/fleet/heads.rs
+++ b/crates/rehearse/src/fleet/heads.rs
@@ -7,7 +7,7 @@
 use super::{Chance, InjectedBug};
 use sedgerun::fleet::disk::open_in_simulator;
 use sedgerun::fleet::environment::Connection;
-use sedgerun::fleet::node::{Node, NodeClient};
+use sedgerun::fleet::node::{Node, NodeClient, NodeSetup};
 use sedgerun::fleet::settings::{DEFAULT_SOCKETS, Settings};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::PathBuf;
@@ -114,7 +114,8 @@
             if let Some(store) = old_name {
                 held.identity.store = store;
             }
-            Node::start(settings, &format!("n{head}"), address, (disk, held), port).await
+            let head = format!("n{head}");
+            Node::start(NodeSetup { settings, head, address, disk, held, dial: port }).await
         }
     }
 
