--- a/crates/rehearse/src/capacity/documents.rs
+++ b/crates/rehearse/src/capacity/documents.rs
@@ -231,11 +231,15 @@
         ("settled_again_ms", fault.settled_again_ms),
         ("in_force_ms", fault.in_force_ms),
         ("peak_bytes", fault.peak_bytes),
+        ("head_peak_bytes", fault.head_peak_bytes),
         ("oldest_ms", fault.oldest_ms),
     ];
     for (name, value) in figures {
         value.map_or(Ok(()), |value| figure(&format!("{key}.{name}"), value))?;
     }
+    if fault.head_peak_bytes > fault.peak_bytes {
+        return Err(format!("{key}.head_peak_bytes is over its peak_bytes"));
+    }
     Ok(())
 }
 
--- a/crates/rehearse/src/capacity/tables/events.rs
+++ b/crates/rehearse/src/capacity/tables/events.rs
@@ -9,6 +9,8 @@
 const MS_PER_S: f64 = 1000.0;
 /// The fault that changes the primary among the voters.
 const LEADER_KILLED: &str = "leader_killed";
+/// The fault that changes the primary of a shard: another backend takes it over.
+const BACKEND_REPLACED: &str = "backend_replaced";
 
 fn in_sets<T>(of: impl Fn(ResultSet) -> Vec<T>) -> Vec<(ResultSet, T)> {
     ResultSet::ALL.into_iter().flat_map(|set| of(set).into_iter().map(move |one| (set, one))).collect()
@@ -81,14 +83,21 @@
         "struck",
         "settled again ms",
         "in force ms",
-        "peak bytes of a head in 1 s",
+        "peak bytes in 1 s",
+        "of a head",
         "oldest state ms",
         "checks",
     ];
     let rows = in_sets(|set| documents.faults(set).collect()).into_iter().map(|(set, fault)| {
         let mut row = vec![set.name().to_owned(), fault.name.clone()];
         row.extend([fault.heads, fault.backends, fault.struck].map(|count| number(count as f64)));
-        let figures = [fault.settled_again_ms, fault.in_force_ms, fault.peak_bytes, fault.oldest_ms];
+        let figures = [
+            fault.settled_again_ms,
+            fault.in_force_ms,
+            fault.peak_bytes,
+            fault.head_peak_bytes,
+            fault.oldest_ms,
+        ];
         row.extend(figures.map(|figure| optional(figure, NOT_RUN)));
         row.push(checks_cell(fault));
         row
@@ -164,14 +173,24 @@
 
 fn fault_promises(set: ResultSet, fault: &Fault, target: &Target) -> Vec<Promised> {
     let settled = fault.settled_again_ms.filter(|_| fault.name == LEADER_KILLED);
+    // Where the roles were not told apart, the largest peak counts against the budget of a head.
+    let head_peak = fault.head_peak_bytes.or(fault.peak_bytes);
+    let set_aside_peak =
+        fault.peak_bytes.filter(|peak| fault.head_peak_bytes.is_some_and(|head| head < *peak));
+    let (in_force_what, in_force_s) = if fault.name == BACKEND_REPLACED {
+        ("new backend on the list of all heads, ms", target.primary.within_s)
+    } else {
+        ("change in force at all that can be reached, ms", target.configuration.within_s)
+    };
     let figures = [
         ("next change settled, ms", settled, target.primary.within_s * MS_PER_S),
+        (in_force_what, fault.in_force_ms, in_force_s * MS_PER_S),
+        ("peak of one head in 1 s, bytes", head_peak, target.head_budget.bytes_per_second),
         (
-            "change in force at all that can be reached, ms",
-            fault.in_force_ms,
-            target.configuration.within_s * MS_PER_S,
+            "peak of one voter or relay in 1 s, bytes",
+            set_aside_peak,
+            target.set_aside_budget.bytes_per_second,
         ),
-        ("peak of one head in 1 s, bytes", fault.peak_bytes, target.head_budget.bytes_per_second),
     ];
     let measured = figures.into_iter().filter_map(|(what, measured, bound)| Some((what, measured?, bound)));
     let promised = |(what, measured, bound)| Promised {
--- a/crates/rehearse/src/scale/faults.rs
+++ b/crates/rehearse/src/scale/faults.rs
@@ -1,5 +1,5 @@
 //! Faults at the largest size of a run: a zone is lost and returns at once, a region is cut off, the leader is
-//! killed, and those that serve many others are.
+//! killed, a backend is replaced, and those that serve many others are stopped.
 
 use super::changes::Settled;
 use super::error::ScaleError;
@@ -39,6 +39,8 @@
     RegionCut,
     /// The leader of the store is killed.
     LeaderKilled,
+    /// A backend goes off discovery's list, and another takes over what it held.
+    BackendReplaced,
     /// A relay of each region is stopped, or, without relays, the hollow heads that hear from a voter itself and serve
     /// others; they start again later.
     RelaysKilled,
@@ -46,8 +48,13 @@
 
 impl FaultKind {
     /// All of them, the most important first.
-    pub const ALL: [FaultKind; 4] =
-        [FaultKind::ZoneReturned, FaultKind::RegionCut, FaultKind::LeaderKilled, FaultKind::RelaysKilled];
+    pub const ALL: [FaultKind; 5] = [
+        FaultKind::ZoneReturned,
+        FaultKind::RegionCut,
+        FaultKind::LeaderKilled,
+        FaultKind::BackendReplaced,
+        FaultKind::RelaysKilled,
+    ];
 
     /// Its name in the results.
     pub fn name(self) -> &'static str {
@@ -55,6 +62,7 @@
             FaultKind::ZoneReturned => "zone_returned",
             FaultKind::RegionCut => "region_cut",
             FaultKind::LeaderKilled => "leader_killed",
+            FaultKind::BackendReplaced => "backend_replaced",
             FaultKind::RelaysKilled => "relays_killed",
         }
     }
@@ -69,7 +77,8 @@
 /// Injects a fault; what came of it, and the starts that it brought about.
 pub fn inject(fleet: &mut ScaleFleet, kind: FaultKind) -> Result<(Fault, Option<Start>), ScaleError> {
     fleet.tell_hosts(HostCommand::ResetPeaks)?;
-    let peak_watch = PeakWatch::start(fleet.real_operators());
+    let voter_watch = PeakWatch::start(fleet.voter_operators());
+    let head_watch = PeakWatch::start(fleet.whole_head_operators());
     let mut record = Fault {
         name: kind.name().to_owned(),
         heads: fleet.heads(),
@@ -78,6 +87,7 @@
         settled_again_ms: None,
         in_force_ms: None,
         peak_bytes: None,
+        head_peak_bytes: None,
         oldest_ms: None,
         passed: false,
         failures: Vec::new(),
@@ -86,10 +96,14 @@
         FaultKind::ZoneReturned => lose_zone(fleet, &mut record)?,
         FaultKind::RegionCut => cut_region(fleet, &mut record).map(|()| None)?,
         FaultKind::LeaderKilled => kill_leader(fleet, &mut record).map(|()| None)?,
+        FaultKind::BackendReplaced => replace_backend(fleet, &mut record).map(|()| None)?,
         FaultKind::RelaysKilled => stop_upstreams(fleet, &mut record).map(|()| None)?,
     };
-    let hollow = fleet.reports()?.into_iter().flatten().map(|report| report.peak_bytes).max();
-    record.peak_bytes = Some(peak_watch.end().max(hollow.unwrap_or(0)) as f64);
+    let hollow = fleet.hollow_peaks()?;
+    let head_peak = head_watch.end().max(hollow.head_bytes);
+    let peak = head_peak.max(voter_watch.end()).max(hollow.relay_bytes);
+    record.head_peak_bytes = Some(head_peak as f64);
+    record.peak_bytes = Some(peak as f64);
     record.passed = record.failures.is_empty();
     Ok((record, started))
 }
@@ -163,6 +177,44 @@
     fleet.harness.start(leader).map_err(ScaleError::Failed)
 }
 
+/// Takes a backend off discovery's list, and puts another in its place once all heads have heard of that. The time
+/// counts from the first to when all heads hold the list with the new one.
+fn replace_backend(fleet: &mut ScaleFleet, record: &mut Fault) -> Result<(), ScaleError> {
+    let backends = fleet.backends;
+    if backends < 2 {
+        return Err(ScaleError::Failed("a list of one backend has none to spare".into()));
+    }
+    record.struck = 1;
+    let begun = Instant::now();
+    fleet.set_backends(backends - 1)?;
+    fleet.set_backends(backends)?;
+    let late = wait_for_list_at_real_heads(fleet, begun + GIVE_UP)?;
+    if late > 0 {
+        let seconds = GIVE_UP.as_secs();
+        record.failures.push(format!("{late} whole heads or voters lack the new backend after {seconds} s"));
+        return Ok(());
+    }
+    let took = begun.elapsed();
+    record.in_force_ms = Some(took.as_secs_f64() * 1000.0);
+    if took > PRIMARY_TIME {
+        record.failures.push(format!("all heads knew the new backend after {:.1} s", took.as_secs_f64()));
+    }
+    Ok(())
+}
+
+/// Waits until the real heads that run hold the list in its present length; how many do not by a time.
+fn wait_for_list_at_real_heads(fleet: &ScaleFleet, until: Instant) -> Result<usize, ScaleError> {
+    let holds =
+        |head: &usize| fleet.real_report(*head).is_some_and(|report| report.backends == fleet.backends);
+    loop {
+        let late = fleet.harness.up().iter().filter(|head| !holds(head)).count();
+        if late == 0 || Instant::now() > until {
+            return Ok(late);
+        }
+        fleet.stop.pause(LOOK)?;
+    }
+}
+
 fn stop_upstreams(fleet: &mut ScaleFleet, record: &mut Fault) -> Result<(), ScaleError> {
     let mut stopped_at = Vec::new();
     for number in upstream_hosts(fleet) {
--- a/crates/rehearse/src/scale/results.rs
+++ b/crates/rehearse/src/scale/results.rs
@@ -151,7 +151,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// `leader_killed`, `relays_killed`, `zone_returned` or `region_cut`.
+    /// `leader_killed`, `backend_replaced`, `relays_killed`, `zone_returned` or `region_cut`.
     pub name: String,
     /// Heads in all.
     pub heads: u64,
@@ -161,10 +161,14 @@
     pub struck: u64,
     /// From the fault until the next change was settled, ms.
     pub settled_again_ms: Option<f64>,
-    /// Until every head that could be reached acted on a change made after the fault, ms.
+    /// Until every head that could be reached acted on a change made after the fault, ms; for a backend that was
+    /// replaced, until all heads hold the list with the new one.
     pub in_force_ms: Option<f64>,
-    /// The largest payload of one head in and out in any one second after the fault, bytes.
+    /// The largest payload of one member, whatever its role, in and out in any one second after the fault, bytes.
     pub peak_bytes: Option<f64>,
+    /// The same of heads that are neither voters nor relays; absent where it was not told apart.
+    #[serde(default)]
+    pub head_peak_bytes: Option<f64>,
     /// How old the cut heads said that their state was, at the most, ms.
     pub oldest_ms: Option<f64>,
     /// Every check of this fault held.
--- a/crates/rehearse/src/scale/scale_fleet.rs
+++ b/crates/rehearse/src/scale/scale_fleet.rs
@@ -247,10 +247,40 @@
         RealHeadReport::read(self.harness.operators(head)).ok()
     }
 
-    /// The operators' addresses of the real heads that run.
-    pub fn real_operators(&self) -> Vec<SocketAddr> {
-        self.harness.up().into_iter().map(|head| self.harness.operators(head)).collect()
+    /// The operators' addresses of the voters that run.
+    pub fn voter_operators(&self) -> Vec<SocketAddr> {
+        self.operators(|head| head < VOTERS as usize)
     }
+
+    /// The operators' addresses of the whole heads without a vote that run.
+    pub fn whole_head_operators(&self) -> Vec<SocketAddr> {
+        self.operators(|head| head >= VOTERS as usize)
+    }
+
+    fn operators(&self, of: impl Fn(usize) -> bool) -> Vec<SocketAddr> {
+        let up = self.harness.up().into_iter();
+        up.filter(|head| of(*head)).map(|head| self.harness.operators(head)).collect()
+    }
+
+    /// The largest payload of one hollow head in one second since peaks were reset, bytes: of relays, and of others.
+    pub fn hollow_peaks(&mut self) -> Result<HollowPeaks, ScaleError> {
+        let reports = self.reports()?;
+        let mut peaks = HollowPeaks::default();
+        for (host, reports) in self.hosts.iter().zip(reports) {
+            let peak = if host.is_relay { &mut peaks.relay_bytes } else { &mut peaks.head_bytes };
+            *peak = reports.iter().map(|report| report.peak_bytes).fold(*peak, u64::max);
+        }
+        Ok(peaks)
+    }
+}
+
+/// The largest payload of one hollow head in one second, bytes.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct HollowPeaks {
+    /// Of a relay.
+    pub relay_bytes: u64,
+    /// Of a head that is no relay.
+    pub head_bytes: u64,
 }
 
 /// Host processes of a plan: one a zone, or more where they would hold too many heads.
--- a/crates/rehearse/src/scale/table.rs
+++ b/crates/rehearse/src/scale/table.rs
@@ -168,13 +168,14 @@
     ]
 }
 
-const FAULT_HEADER: [&str; 8] = [
+const FAULT_HEADER: [&str; 9] = [
     "fault",
     "heads",
     "struck",
     "settled again ms",
     "in force ms",
     "peak KB in 1 s",
+    "of a head",
     "oldest state ms",
     "verdict",
 ];
@@ -190,6 +191,7 @@
         figure(fault.settled_again_ms, 1.0),
         figure(fault.in_force_ms, 1.0),
         figure(fault.peak_bytes, KIB),
+        figure(fault.head_peak_bytes, KIB),
         figure(fault.oldest_ms, 1.0),
         if fault.passed { "passed" } else { "failed" }.to_owned(),
     ]
--- a/crates/rehearse/tests/capacity.rs
+++ b/crates/rehearse/tests/capacity.rs
@@ -120,6 +120,7 @@
             settled_again_ms: Some(26_000.0),
             in_force_ms: Some(700.0),
             peak_bytes: Some(4000.0),
+            head_peak_bytes: Some(3000.0),
             oldest_ms: None,
             passed: false,
             failures: vec!["settled too late".into()],
@@ -441,6 +442,10 @@
         (with("/points/0/roles/voter/bytes_in/mean", serde_json::Value::Null), "line 1 column"),
         (with("/starts/0/started", 801.into()), "starts[0].started is more than there are heads"),
         (with("/faults/0/peak_bytes", 1e300.into()), "faults[0].peak_bytes is out of range"),
+        (
+            with("/faults/0/head_peak_bytes", 5000.0.into()),
+            "faults[0].head_peak_bytes is over its peak_bytes",
+        ),
         (with("/data_path/0/latency/p99_ms", 0.1.into()), "data_path[0].latency: median"),
         (with("/data_path/0/clients", 0.into()), "data_path[0].clients is out of range"),
     ];
--- a/crates/rehearse/tests/scale.rs
+++ b/crates/rehearse/tests/scale.rs
@@ -3,6 +3,7 @@
 
 use sedgerun_rehearse::scale::results::{Cost, Point, Role, ScaleResults};
 use std::collections::BTreeSet;
+use std::fmt::Display;
 use std::io::Read;
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Output, Stdio};
@@ -54,40 +55,44 @@
     serde_json::from_str(&text).expect("results in their form")
 }
 
+/// Measures steady loads with these options, and reads the results, which must be whole.
+fn measure(test: &str, options: &[(&str, &dyn Display)]) -> ScaleResults {
+    let folder = Folder::new(test);
+    let file = folder.file("results.json");
+    let mut command = scale(&["--steady-only"]);
+    command.arg("--out").arg(&file);
+    for (option, value) in options {
+        command.arg(option).arg(value.to_string());
+    }
+    let output = command.output().expect("the program runs");
+    let said = String::from_utf8_lossy(&output.stdout).into_owned();
+    let errors = String::from_utf8_lossy(&output.stderr).into_owned();
+    assert!(output.status.success(), "{said}{errors}");
+    assert!(!errors.contains("panicked"), "{errors}");
+    let results = read(&file);
+    assert!(results.complete, "{:?}", results.not_run);
+    results
+}
+
 fn cost(point: &Point, role: Role) -> &Cost {
     point.roles.get(&role).unwrap_or_else(|| panic!("{role:?} is missing"))
 }
 
 #[test]
 fn a_small_run_reaches_all_heads_at_bounded_depth_and_cost() {
-    let folder = Folder::new("small");
-    let file = folder.file("results.json");
-    let (heads, whole) = (ALL.to_string(), WHOLE.to_string());
-    let out = file.display().to_string();
-    let output = run(&[
-        "--heads",
-        &heads,
-        "--whole",
-        &whole,
-        "--backends",
-        "50",
-        "--changes",
-        "0,5",
-        "--relays",
-        "0",
-        "--steady-only",
-        "--out",
-        &out,
-    ]);
-    let said = String::from_utf8_lossy(&output.stdout).into_owned();
-    assert!(output.status.success(), "{said}{}", String::from_utf8_lossy(&output.stderr));
-    let results = read(&file);
-    assert!(results.complete, "{:?}", results.not_run);
-    let errors = String::from_utf8_lossy(&output.stderr).into_owned();
-    assert!(!errors.contains("panicked"), "{errors}");
+    let results = measure(
+        "small",
+        &[
+            ("--heads", &ALL),
+            ("--whole", &WHOLE),
+            ("--relays", &0),
+            ("--backends", &50),
+            ("--changes", &"0,5"),
+        ],
+    );
     assert_eq!(results.points.len(), 2);
     for point in &results.points {
-        assert_eq!((point.heads, point.backends, point.reached), (ALL, 50, ALL), "{said}");
+        assert_eq!((point.heads, point.backends, point.reached), (ALL, 50, ALL), "{point:?}");
         assert_eq!(cost(point, Role::Voter).count, VOTERS);
         assert_eq!(cost(point, Role::WholeHead).count, WHOLE);
         assert_eq!(cost(point, Role::HollowHead).count, HOLLOW);
@@ -115,32 +120,19 @@
 #[test]
 fn with_relays_no_head_carries_another_and_all_are_reached() {
     const RELAYS: u64 = 3;
-    let folder = Folder::new("relays");
-    let file = folder.file("results.json");
-    let (heads, whole, relays) = ((ALL + RELAYS).to_string(), WHOLE.to_string(), RELAYS.to_string());
-    let out = file.display().to_string();
-    let output = run(&[
-        "--heads",
-        &heads,
-        "--whole",
-        &whole,
-        "--relays",
-        &relays,
-        "--backends",
-        "50",
-        "--changes",
-        "0,5",
-        "--steady-only",
-        "--out",
-        &out,
-    ]);
-    let said = String::from_utf8_lossy(&output.stdout).into_owned();
-    assert!(output.status.success(), "{said}{}", String::from_utf8_lossy(&output.stderr));
-    let results = read(&file);
-    assert!(results.complete, "{:?}", results.not_run);
+    let results = measure(
+        "relays",
+        &[
+            ("--heads", &(ALL + RELAYS)),
+            ("--whole", &WHOLE),
+            ("--relays", &RELAYS),
+            ("--backends", &50),
+            ("--changes", &"0,5"),
+        ],
+    );
     let [idle, changing] = &results.points[..] else { panic!("two loads") };
     for point in [idle, changing] {
-        assert_eq!((point.heads, point.reached), (ALL + RELAYS, ALL + RELAYS), "{said}");
+        assert_eq!((point.heads, point.reached), (ALL + RELAYS, ALL + RELAYS), "{point:?}");
         assert_eq!((cost(point, Role::Relay).count, cost(point, Role::HollowHead).count), (RELAYS, HOLLOW));
         // A relay hears from a voter, and every head from a relay.
         assert!(point.depth.most <= 1.0, "{:?}", point.depth);
@@ -160,27 +152,11 @@
 
 #[test]
 fn hollow_heads_say_and_hear_as_much_as_whole_ones() {
-    let folder = Folder::new("fidelity");
-    let file = folder.file("results.json");
-    let out = file.display().to_string();
     // So few heads that each hangs on a voter: then all have the same to do.
-    let output = run(&[
-        "--heads",
-        "25",
-        "--whole",
-        "4",
-        "--backends",
-        "20",
-        "--changes",
-        "5",
-        "--relays",
-        "0",
-        "--steady-only",
-        "--out",
-        &out,
-    ]);
-    assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
-    let results = read(&file);
+    let results = measure(
+        "fidelity",
+        &[("--heads", &25), ("--whole", &4), ("--relays", &0), ("--backends", &20), ("--changes", &5)],
+    );
     let point = &results.points[0];
     let (whole, hollow) = (cost(point, Role::WholeHead), cost(point, Role::HollowHead));
     type Figure = fn(&Cost) -> f64;
@@ -199,26 +175,11 @@
 /// Followers that were sent on once kept their connections, and filled the places of those that had yet to ask.
 #[test]
 fn followers_that_are_sent_on_leave_no_connection_at_a_voter() {
-    let folder = Folder::new("redirected");
-    let file = folder.file("results.json");
-    let out = file.display().to_string();
-    let output = run(&[
-        "--heads",
-        "200",
-        "--whole",
-        "1",
-        "--backends",
-        "10",
-        "--changes",
-        "0",
-        "--relays",
-        "0",
-        "--steady-only",
-        "--out",
-        &out,
-    ]);
-    assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
-    let point = &read(&file).points[0];
+    let results = measure(
+        "redirected",
+        &[("--heads", &200), ("--whole", &1), ("--relays", &0), ("--backends", &10), ("--changes", &0)],
+    );
+    let point = &results.points[0];
     assert_eq!(point.reached, 200);
     // Its followers, the other voters and discovery; what a head of one voter holds by itself; and some spare.
     let descriptors = cost(point, Role::Voter).descriptors;
