--- a/crates/rehearse/src/scale/discovery/mod.rs
+++ b/crates/rehearse/src/scale/discovery/mod.rs
@@ -13,4 +13,4 @@
 pub use super::json_lines::ConversationError as DiscoveryError;
 pub use client::DiscoveryProcess;
 pub use control::{Command, Listening, MOST_BACKENDS, Reply, run};
-pub use traffic::{PeerTraffic, Report, Traffic};
+pub use traffic::{PeerTraffic, Report};
--- a/crates/rehearse/src/scale/discovery/server.rs
+++ b/crates/rehearse/src/scale/discovery/server.rs
@@ -1,12 +1,14 @@
 //! The HTTP side: `GET /v1/servers`, whole or as a watch, on connections that stay open.
 
 use super::catalog::Catalog;
-use super::traffic::{Admitted, CountedStream, Peers, Report};
+use super::traffic::{Admitted, Peers, Report};
 use crate::sockets::http::Wire;
 use bytes::{Buf, Bytes};
+use sedgerun::traffic::Counted;
 use std::cell::{Cell, RefCell};
 use std::io;
 use std::rc::Rc;
+use std::sync::Arc;
 use std::time::{Duration, Instant};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
@@ -194,10 +196,10 @@
 
     async fn serve(&self, stream: TcpStream, admitted: &Admitted) -> io::Result<()> {
         stream.set_nodelay(true)?;
-        let counters = &admitted.counters;
-        let mut wire = Wire::over(CountedStream::new(stream, Rc::clone(counters)));
+        let traffic = &admitted.traffic;
+        let mut wire = Wire::over(Counted::new(stream, Arc::clone(traffic)));
         while let Some(request) = wire.read(false).await? {
-            counters.received();
+            traffic.add_message_received();
             self.calls.set(self.calls.get() + 1);
             let parsed = parse_target(&request.target);
             drop(request);
@@ -209,7 +211,7 @@
                 Err(answer) => answer,
             };
             tokio::time::timeout(WRITE_TIMEOUT, write(&mut wire, answer)).await??;
-            counters.sent();
+            traffic.add_message_sent();
         }
         Ok(())
     }
@@ -231,7 +233,7 @@
     }
 }
 
-async fn write(wire: &mut Wire<CountedStream>, answer: Answer) -> io::Result<()> {
+async fn write(wire: &mut Wire<Counted<TcpStream>>, answer: Answer) -> io::Result<()> {
     match answer {
         Answer::List(body) => {
             let head = format!(
--- a/crates/rehearse/src/scale/measure.rs
+++ b/crates/rehearse/src/scale/measure.rs
@@ -97,13 +97,7 @@
 
     fn add_discovery(&mut self, fleet: &mut ScaleFleet) -> Result<(), ScaleError> {
         let report = fleet.discovery.report(false);
-        let total = report.map_err(|error| ScaleError::failed("discovery", error))?.total;
-        let traffic = TrafficTotals {
-            bytes_received: total.bytes_in,
-            bytes_sent: total.bytes_out,
-            messages_received: total.messages_in,
-            messages_sent: total.messages_out,
-        };
+        let traffic = report.map_err(|error| ScaleError::failed("discovery", error))?.total;
         let process = fleet.discovery.id();
         let counters = Counters { at: Instant::now(), traffic };
         self.processes.insert(process, Process { role: Role::Discovery, usage: usage(process)?, counters });
--- a/crates/rehearse/tests/scale_discovery.rs
+++ b/crates/rehearse/tests/scale_discovery.rs
@@ -1,9 +1,7 @@
 //! The stand-in for discovery: thousands of watches with changes, a bounded history, outages and its end.
 
 use sedgerun_rehearse::scale::discovery::catalog::{Catalog, Document, Instance, Lifecycle};
-use sedgerun_rehearse::scale::discovery::{
-    DiscoveryError, DiscoveryProcess, MOST_BACKENDS, Reply, Report, Traffic,
-};
+use sedgerun_rehearse::scale::discovery::{DiscoveryError, DiscoveryProcess, MOST_BACKENDS, Reply, Report};
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Write};
 use std::net::SocketAddr;
@@ -129,19 +127,19 @@
         }
         let all = 2 * WATCHES as u64;
         let report =
-            report_when(&mut discovery, "all answered", |report| report.total.messages_out == all).await;
-        assert_eq!((report.calls, report.total.messages_in, report.open_watches), (all, all, 0));
+            report_when(&mut discovery, "all answered", |report| report.total.messages_sent == all).await;
+        assert_eq!((report.calls, report.total.messages_received, report.open_watches), (all, all, 0));
         assert_eq!((report.whole_lists, report.peers.len()), (WATCHES as u64, WATCHES));
         for caller in &callers {
             let local = caller.stream.local_addr().expect("an address");
             let peer = report.peers.iter().find(|peer| peer.peer == local).expect("its figures");
-            let Traffic { bytes_in, bytes_out, messages_in, messages_out } = peer.traffic;
-            assert_eq!((bytes_in, bytes_out), (caller.bytes_out, caller.bytes_in));
-            assert_eq!((messages_in, messages_out), (2, 2));
+            let traffic = peer.traffic;
+            assert_eq!((traffic.bytes_received, traffic.bytes_sent), (caller.bytes_out, caller.bytes_in));
+            assert_eq!((traffic.messages_received, traffic.messages_sent), (2, 2));
         }
         let sent: u64 = callers.iter().map(|caller| caller.bytes_out).sum();
         let received: u64 = callers.iter().map(|caller| caller.bytes_in).sum();
-        assert_eq!((report.total.bytes_in, report.total.bytes_out), (sent, received));
+        assert_eq!((report.total.bytes_received, report.total.bytes_sent), (sent, received));
         // Figures of connections that have closed still count.
         drop(callers);
         let closed = report_when(&mut discovery, "all closed", |report| report.open_connections == 0).await;
