--- a/crates/rehearse/src/scale/faults.rs
+++ b/crates/rehearse/src/scale/faults.rs
@@ -186,12 +186,17 @@
     }
     record.struck = 1;
     let begun = Instant::now();
-    fleet.set_backends(backends - 1)?;
-    fleet.set_backends(backends)?;
-    let late = wait_for_list_at_real_heads(fleet, begun + GIVE_UP)?;
-    if late > 0 {
-        let seconds = GIVE_UP.as_secs();
-        record.failures.push(format!("{late} whole heads or voters lack the new backend after {seconds} s"));
+    // The list is as long after as before: a head that was not seen without the first may have heard of neither.
+    for length in [backends - 1, backends] {
+        fleet.set_backends(length)?;
+        let late = wait_for_list_at_real_heads(fleet, begun + GIVE_UP)?;
+        if late > 0 {
+            let seconds = GIVE_UP.as_secs();
+            let what = format!("{late} real heads do not hold a list of {length} backends after {seconds} s");
+            record.failures.push(what);
+        }
+    }
+    if !record.failures.is_empty() {
         return Ok(());
     }
     let took = begun.elapsed();
