--- /dev/null
+++ b/crates/head/tests/frozen_messages.rs
@@ -0,0 +1,486 @@
+//! What heads say to each other and what a voter writes down, frozen byte for byte as whole records.
+//!
+//! Heads of neighbouring versions share one fleet: each call and each reply keeps its number and its encoding, whatever
+//! its name in the code. Each value is sealed and compared with its line in `recorded/messages.txt`, and the line is
+//! read back. Frames and backups are made and read by the program's own client, against a stand-in for a voter. The
+//! file is never written by a test: where a format changes on purpose, the failure shows the new line.
+
+#[path = "../../fleet/tests/recorded/mod.rs"]
+mod recorded;
+
+use openraft::error::SnapshotMismatch;
+use openraft::raft::{
+    AppendEntriesRequest, AppendEntriesResponse, InstallSnapshotRequest, InstallSnapshotResponse,
+    VoteRequest, VoteResponse,
+};
+use openraft::{CommittedLeaderId, EntryPayload, SnapshotSegmentId};
+use recorded::{Section, assert_sections, unhex};
+use sedgerun::fleet::client;
+use sedgerun::fleet::disk::Identity;
+use sedgerun::fleet::settings::Settings;
+use sedgerun::fleet::types::{
+    Call, DistributionStatus, Entry, LogId, Membership, RelayRegistration, Reply, SnapshotMeta, Status,
+    UpdateRequest, Vote, VoterAddress, VoterStatus,
+};
+use sedgerun_fleet::follow::{Downstream, Peer, UpdateReply, Voters};
+use sedgerun_fleet::greeting::{Greeting, Refusal};
+use sedgerun_fleet::record::{self, RecordType};
+use sedgerun_fleet::relay::{Directory, FollowerRole, Relay, RelayStatus};
+use sedgerun_fleet::state::{Change, Command, Outcome};
+use sedgerun_fleet::subscribe::{
+    HeldDigests, Redirect, Route, SubscribeReply, Subscription, Summary, Update,
+};
+use sedgerun_fleet::view::{Chunk, Fields, Key, Object, VersionedObject};
+use sedgerun_fleet::watermark::{Incarnation, Watermark};
+use serde::Serialize;
+use serde::de::DeserializeOwned;
+use std::collections::{BTreeMap, BTreeSet};
+use std::fmt::Debug;
+use std::io::{Read, Write};
+use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
+use std::path::PathBuf;
+use std::thread::{self, JoinHandle};
+use std::time::Duration;
+
+const RECORDED: &str = include_str!("recorded/messages.txt");
+/// Sections of the file: what stands before the first dot of a line.
+const SECTIONS: [&str; 5] = ["call", "reply", "stored", "frame", "backup"];
+const STORE: u64 = 0x0123_4567_89ab_cdef;
+const OTHER_STORE: u64 = 0xfedc_ba98_7654_3210;
+const SECRET: &str = "known to the rig alone";
+
+fn section(name: &'static str) -> Section {
+    Section::open(RECORDED, name)
+}
+
+/// A message is sealed as recorded, and what is recorded is read as one that is sealed alike.
+fn check_message<T>(section: &mut Section, name: &str, record_type: RecordType, message: &T)
+where
+    T: Serialize + DeserializeOwned,
+{
+    let written = record::seal(record_type, message).expect("a record");
+    if let Some(recorded) = section.compare(name, &written) {
+        let read: T = record::open(record_type, &recorded).expect("a message");
+        assert_eq!(record::seal(record_type, &read).expect("a record"), recorded, "{name}");
+    }
+}
+
+/// The same, and what is recorded is read as the value itself.
+fn check_value<T>(section: &mut Section, name: &str, record_type: RecordType, value: &T)
+where
+    T: Serialize + DeserializeOwned + PartialEq + Debug,
+{
+    let written = record::seal(record_type, value).expect("a record");
+    if let Some(recorded) = section.compare(name, &written) {
+        assert_eq!(record::open::<T>(record_type, &recorded).as_ref(), Ok(value), "{name}");
+    }
+}
+
+fn position(term: u64, index: u64) -> LogId {
+    LogId::new(CommittedLeaderId::new(term, STORE), index)
+}
+
+fn voter(head: &str) -> VoterAddress {
+    VoterAddress { head: head.into(), address: "192.0.2.17:4410".into(), zone: Some("a".into()) }
+}
+
+/// Voters in the middle of a change, and one that is brought up to date.
+fn members() -> openraft::Membership<u64, VoterAddress> {
+    let configs = vec![BTreeSet::from([STORE]), BTreeSet::from([STORE, OTHER_STORE])];
+    let nodes = BTreeMap::from([(STORE, voter("n0")), (OTHER_STORE, voter("n1")), (77, voter("n2"))]);
+    openraft::Membership::new(configs, nodes)
+}
+
+fn snapshot_meta() -> SnapshotMeta {
+    SnapshotMeta {
+        last_log_id: Some(position(16, 89_000)),
+        last_membership: Membership::new(Some(position(15, 300)), members()),
+        snapshot_id: "16-89000".into(),
+    }
+}
+
+fn fields() -> Fields {
+    let pairs = [("plan", "even"), ("shard", "3"), ("volume", "b1")];
+    pairs.iter().map(|(key, value)| ((*key).to_owned(), (*value).to_owned())).collect()
+}
+
+fn change(key: &str) -> Change {
+    let (tenant, export, fields) = ("horvat".into(), "press".into(), fields());
+    Change { key: key.into(), expect: Some(70_000), command: Command::PutExport { tenant, export, fields } }
+}
+
+fn entries() -> [(&'static str, Entry); 3] {
+    let changes = vec![change("k1"), Change { expect: None, ..change("k2") }];
+    [
+        ("blank", Entry { log_id: position(16, 89_001), payload: EntryPayload::Blank }),
+        ("changes", Entry { log_id: position(16, 89_002), payload: EntryPayload::Normal(changes) }),
+        ("members", Entry { log_id: position(16, 89_003), payload: EntryPayload::Membership(members()) }),
+    ]
+}
+
+fn objects() -> Vec<VersionedObject> {
+    let exports = BTreeMap::from([("press".to_owned(), fields())]);
+    vec![
+        VersionedObject {
+            version: 300,
+            key: Key::Tenant("horvat".into()),
+            object: Some(Object::Tenant(exports)),
+        },
+        VersionedObject { version: 301, key: Key::Backend("s-7".into()), object: Some(Object::Ban) },
+        VersionedObject { version: 302, key: Key::Tenant("gone".into()), object: None },
+    ]
+}
+
+fn chunk() -> Chunk {
+    Chunk { objects: objects(), upto: 302, version: 302, restart: false }
+}
+
+fn peer(head: &str) -> Peer {
+    Peer { head: head.into(), address: "192.0.2.17:4410".into() }
+}
+
+fn downstream() -> Downstream {
+    Downstream { at: peer("n4"), store: STORE, zone: Some("a".into()), version: 70_000, incarnation: 300 }
+}
+
+fn voters() -> Voters {
+    Voters { log_index: 90_000, by_store: BTreeMap::from([(STORE, peer("n0")), (OTHER_STORE, peer("n1"))]) }
+}
+
+fn relay() -> Relay {
+    let (region, zone) = (Some("north".into()), Some("a".into()));
+    Relay { peer: peer("r0"), region, zone, store: STORE, incarnation: 300 }
+}
+
+fn subscription() -> Subscription {
+    Subscription {
+        role: FollowerRole::Relay,
+        region: Some("north".into()),
+        version: 70_000,
+        since: 70_001,
+        first_version: 70_002,
+        wait: 3000,
+        held: HeldDigests { route: 0x89ab_cdef, directory: 0x0123_4567 },
+        bypass_relays: true,
+        summary: Some(Summary { heads: 1000, lowest_version: 69_999, sample: vec![downstream()] }),
+    }
+}
+
+fn update() -> Update {
+    let path = vec!["n0".to_owned(), "r0".to_owned()];
+    let route = Route { origin: Some(OTHER_STORE), path, leader: Some(peer("n0")), voters: voters() };
+    Update {
+        version: 70_000,
+        age: 1500,
+        chunk: Some(chunk()),
+        route: Some(route),
+        directory: Some(Directory::new([relay()])),
+    }
+}
+
+fn status() -> Status {
+    let voter = VoterStatus {
+        head: "n0".into(),
+        store: STORE,
+        address: "192.0.2.17:4410".into(),
+        zone: Some("a".into()),
+        votes: true,
+        matched: Some(89_999),
+    };
+    Status {
+        fleet: "rig".into(),
+        head: "n0".into(),
+        store: STORE,
+        incarnation: 300,
+        role: "leader".into(),
+        leader: Some("n0".into()),
+        term: 17,
+        version: 70_000,
+        applied: 90_000,
+        last: 90_001,
+        voters: vec![voter],
+        followers: vec![downstream()],
+        path: vec!["n0".into(), "n4".into()],
+        age: Some(1500),
+        repairs: 2,
+        syncs: (1000, 20_000, 400),
+        refused: 3,
+        trouble: Some("an older copy of its disk".into()),
+    }
+}
+
+fn distribution() -> DistributionStatus {
+    DistributionStatus {
+        region: Some("north".into()),
+        upstream: Some("r0".into()),
+        direct_followers: 16,
+        all_followers: 1000,
+        lowest_version: 69_999,
+        relays: vec![RelayStatus { relay: relay(), followers: 1000 }],
+    }
+}
+
+fn greeting() -> Greeting {
+    Greeting {
+        fleet: "rig".into(),
+        secret: SECRET.into(),
+        head: "n0".into(),
+        store: Some(STORE),
+        zone: Some("a".into()),
+        address: "192.0.2.17:4410".into(),
+        incarnation: Incarnation { count: 300, nonce: OTHER_STORE },
+        initial_watermark: Watermark { vote: 17, last: (16, 90_000) },
+        origin: Some(OTHER_STORE),
+    }
+}
+
+/// Calls of the consensus protocol.
+fn protocol_calls() -> Vec<(&'static str, Call)> {
+    let append = AppendEntriesRequest {
+        vote: Vote::new_committed(17, STORE),
+        prev_log_id: Some(position(16, 89_000)),
+        entries: entries().map(|(_, entry)| entry).to_vec(),
+        leader_commit: Some(position(16, 88_999)),
+    };
+    let heartbeat = AppendEntriesRequest { entries: Vec::new(), leader_commit: None, ..append.clone() };
+    let vote = VoteRequest { vote: Vote::new(18, STORE), last_log_id: Some(position(17, 90_000)) };
+    let snapshot = InstallSnapshotRequest {
+        vote: Vote::new_committed(17, STORE),
+        meta: snapshot_meta(),
+        offset: 524_288,
+        data: b"a chunk".to_vec(),
+        done: true,
+    };
+    vec![
+        ("append", Call::Append(append)),
+        ("heartbeat", Call::Append(heartbeat)),
+        ("vote", Call::Vote(vote)),
+        ("snapshot", Call::Snapshot(snapshot)),
+    ]
+}
+
+/// All other calls.
+fn calls() -> Vec<(&'static str, Call)> {
+    let request = UpdateRequest {
+        follower: downstream(),
+        subtree: Some(vec![downstream()]),
+        since: 70_001,
+        first_version: 70_002,
+        wait_ms: 3000,
+    };
+    let registration = RelayRegistration { region: Some("north".into()), followers: 1000 };
+    vec![
+        ("change", Call::Change(change("k1"), 950)),
+        ("latest", Call::Latest),
+        ("status", Call::Status),
+        ("begin", Call::Begin),
+        ("silent", Call::Silent(Some(position(17, 90_000)))),
+        ("silent_with_empty_log", Call::Silent(None)),
+        ("follow", Call::Follow(Box::new(request))),
+        ("chunk", Call::Chunk(70_001, 70_002)),
+        ("propose", Call::Propose(change("line 0123"))),
+        ("subscribe", Call::Subscribe(Box::new(subscription()))),
+        ("register_relay", Call::RegisterRelay(registration)),
+        ("distribution", Call::Distribution),
+    ]
+}
+
+/// Replies to calls of the consensus protocol.
+fn protocol_replies() -> Vec<(&'static str, Reply)> {
+    let vote = Vote::new_committed(17, STORE);
+    let granted = VoteResponse { vote, vote_granted: true, last_log_id: Some(position(17, 90_000)) };
+    let mismatch = SnapshotMismatch {
+        expect: SnapshotSegmentId { id: "16-89000".into(), offset: 524_288 },
+        got: SnapshotSegmentId { id: "16-89001".into(), offset: 0 },
+    };
+    let partial = AppendEntriesResponse::PartialSuccess(Some(position(16, 89_001)));
+    vec![
+        ("append_success", Reply::Append(AppendEntriesResponse::Success)),
+        ("append_partial_success", Reply::Append(partial)),
+        ("append_conflict", Reply::Append(AppendEntriesResponse::Conflict)),
+        ("append_higher_vote", Reply::Append(AppendEntriesResponse::HigherVote(Vote::new(18, OTHER_STORE)))),
+        ("vote", Reply::Vote(granted)),
+        ("snapshot", Reply::Snapshot(InstallSnapshotResponse { vote })),
+        ("mismatch", Reply::Mismatch(mismatch)),
+    ]
+}
+
+/// Replies about changes and about how a head stands.
+fn replies() -> Vec<(&'static str, Reply)> {
+    vec![
+        ("changed", Reply::Changed(Outcome::Done { version: 70_000, fresh: true })),
+        ("changed_missing", Reply::Changed(Outcome::Missing("no tenant horvat".into()))),
+        ("changed_conflict", Reply::Changed(Outcome::Conflict("there is an export press already".into()))),
+        ("changed_stale", Reply::Changed(Outcome::Stale(69_999))),
+        ("changed_reused", Reply::Changed(Outcome::Reused)),
+        ("latest", Reply::Latest(70_000)),
+        ("status", Reply::Status(Box::new(status()))),
+        ("status_of_new_head", Reply::Status(Box::default())),
+        ("begun", Reply::Begun),
+        ("silent", Reply::Silent(STORE, true)),
+        ("chunk", Reply::Chunk(chunk())),
+        ("not_leader", Reply::NotLeader(Some(voter("n1")))),
+        ("not_leader_and_none_known", Reply::NotLeader(None)),
+        ("refused", Reply::Refused("has just started".into())),
+        ("registered", Reply::Registered),
+        ("distribution", Reply::Distribution(Box::new(distribution()))),
+    ]
+}
+
+/// Replies to the polls of followers.
+fn poll_replies() -> Vec<(&'static str, Reply)> {
+    let (path, leader, voters) = (vec!["n0".to_owned()], Some(peer("n0")), voters());
+    let legacy = UpdateReply::Chunk { chunk: chunk(), path, age: 1500, leader, voters };
+    let full = UpdateReply::Full { redirect: vec![peer("n4")] };
+    let redirect = Redirect { directory: Some(Directory::new([relay()])), peers: vec![peer("n4")] };
+    vec![
+        ("update", Reply::Update(Some(OTHER_STORE), legacy)),
+        ("update_full", Reply::Update(None, full)),
+        ("subscribed_update", Reply::Subscribed(SubscribeReply::Update(update()))),
+        ("subscribed_redirect", Reply::Subscribed(SubscribeReply::Redirect(redirect))),
+        ("subscribed_retry_after", Reply::Subscribed(SubscribeReply::RetryAfter(400))),
+    ]
+}
+
+#[test]
+fn every_call_between_heads_keeps_its_bytes() {
+    let mut lines = section("call");
+    for (name, call) in protocol_calls().into_iter().chain(calls()) {
+        check_message(&mut lines, name, RecordType::Call, &call);
+    }
+    lines.close();
+}
+
+#[test]
+fn every_reply_between_heads_keeps_its_bytes() {
+    let mut lines = section("reply");
+    for (name, reply) in protocol_replies().into_iter().chain(replies()).chain(poll_replies()) {
+        check_message(&mut lines, name, RecordType::Reply, &reply);
+    }
+    lines.close();
+}
+
+#[test]
+fn every_record_that_a_voter_writes_keeps_its_bytes() {
+    let mut lines = section("stored");
+    let identity = Identity { store: STORE, incarnation: 300, origin: Some(OTHER_STORE) };
+    check_value(&mut lines, "identity", RecordType::Identity, &identity);
+    let unadopted = Identity { origin: None, ..identity };
+    check_value(&mut lines, "identity_of_no_fleet", RecordType::Identity, &unadopted);
+    check_value(&mut lines, "vote", RecordType::Vote, &Vote::new(18, STORE));
+    check_value(&mut lines, "vote_committed", RecordType::Vote, &Vote::new_committed(17, STORE));
+    check_value(&mut lines, "position", RecordType::Position, &position(16, 89_000));
+    check_value(&mut lines, "snapshot_head", RecordType::SnapshotHead, &snapshot_meta());
+    for (name, entry) in entries() {
+        check_value(&mut lines, &format!("entry_{name}"), RecordType::Entry, &entry);
+    }
+    lines.close();
+}
+
+/// A frame: the length of a record, then the record.
+fn framed<T: Serialize>(record_type: RecordType, value: &T) -> Vec<u8> {
+    let record = record::seal(record_type, value).expect("a record");
+    let mut frame = (record.len() as u32).to_le_bytes().to_vec();
+    frame.extend(record);
+    frame
+}
+
+/// Reads one frame with its length.
+fn read_frame(stream: &mut TcpStream) -> Vec<u8> {
+    let mut frame = vec![0; 4];
+    stream.read_exact(&mut frame).expect("a length");
+    let length = u32::from_le_bytes([frame[0], frame[1], frame[2], frame[3]]) as usize;
+    frame.resize(4 + length, 0);
+    stream.read_exact(&mut frame[4..]).expect("a record");
+    frame
+}
+
+/// A voter that takes one connection, answers its frames with these in turn, and returns what it has read.
+fn stand_in(answers: Vec<Vec<u8>>) -> (SocketAddr, JoinHandle<Vec<Vec<u8>>>) {
+    let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a listener");
+    let address = listener.local_addr().expect("an address");
+    let served = thread::spawn(move || {
+        let (mut stream, _) = listener.accept().expect("a connection");
+        stream.set_read_timeout(Some(Duration::from_secs(10))).expect("a timeout");
+        let answer = |answer: Vec<u8>| {
+            let read = read_frame(&mut stream);
+            stream.write_all(&answer).expect("an answer");
+            read
+        };
+        answers.into_iter().map(answer).collect()
+    });
+    (address, served)
+}
+
+/// The settings of a head `n9` of a fleet of one voter.
+fn settings(voter: SocketAddr) -> Settings {
+    Settings {
+        name: "rig".into(),
+        secret: SECRET.into(),
+        listen: SocketAddr::from((Ipv4Addr::LOCALHOST, 0)),
+        dir: PathBuf::new(),
+        voters: BTreeMap::from([("n0".to_owned(), voter)]),
+        heads: BTreeMap::new(),
+        address: None,
+        zone: None,
+        region: None,
+        relay: false,
+        sockets: 1024,
+    }
+}
+
+fn file_of(name: &str) -> PathBuf {
+    std::env::temp_dir().join(format!("sedgerun-frozen-{}-{name}", std::process::id()))
+}
+
+#[test]
+fn the_client_frames_its_calls_reads_replies_and_writes_a_backup_as_recorded() {
+    let answers = [
+        ("greeting_answer", framed(RecordType::Greeting, &Ok::<Greeting, Refusal>(greeting()))),
+        ("reply_latest", framed(RecordType::Reply, &Reply::Latest(302))),
+        ("reply_chunk", framed(RecordType::Reply, &Reply::Chunk(chunk()))),
+    ];
+    let mut lines = section("frame");
+    for (name, frame) in &answers {
+        lines.compare(name, frame);
+    }
+    let (address, served) = stand_in(answers.map(|(_, frame)| frame).to_vec());
+    let file = file_of("written.backup");
+    client::backup(&settings(address), "n9", &file).expect("a backup");
+    let read = served.join().expect("the stand-in");
+    for (name, frame) in ["greeting", "call_latest", "call_chunk"].iter().zip(&read) {
+        lines.compare(name, frame);
+    }
+    assert_eq!(read.len(), 3);
+    lines.close();
+    let mut lines = section("backup");
+    lines.compare("file", &std::fs::read(&file).expect("a backup"));
+    std::fs::remove_file(&file).expect("a backup");
+    lines.close();
+}
+
+#[test]
+fn a_recorded_backup_is_restored_whole() {
+    let line = RECORDED.lines().find_map(|line| line.strip_prefix("backup.file ")).expect("a backup");
+    let file = file_of("recorded.backup");
+    std::fs::write(&file, unhex(line)).expect("a file");
+    let answers = vec![
+        framed(RecordType::Greeting, &Ok::<Greeting, Refusal>(greeting())),
+        framed(RecordType::Reply, &Reply::Changed(Outcome::Done { version: 2, fresh: true })),
+    ];
+    let (address, served) = stand_in(answers);
+    client::restore(&settings(address), "n9", &file).expect("a restored backup");
+    std::fs::remove_file(&file).expect("a backup");
+    let read = served.join().expect("the stand-in");
+    match record::open(RecordType::Call, &read[1][4..]) {
+        Ok(Call::Propose(Change { expect: None, command: Command::Restore(restored), .. })) => {
+            assert_eq!(restored, objects());
+        }
+        other => panic!("{other:?}"),
+    }
+}
+
+#[test]
+fn every_recorded_line_is_in_a_section_that_is_compared() {
+    assert_sections(RECORDED, &SECTIONS);
+}
