--- a/crates/cluster/src/follow.rs
+++ b/crates/cluster/src/follow.rs
@@ -4,7 +4,7 @@
 use super::member::Member;
 use super::peer_connection::{CallError, PeerConnection};
 use super::types::{Call, Reply, UpdateRequest};
-use sedgerun_replication::follow::{ANSWER_TIMEOUT_MS, Downstream, Next, Peer, Poll};
+use sedgerun_replication::follow::{ANSWER_TIMEOUT_MS, Downstream, FollowerStep, Peer, UpstreamPoll};
 use sedgerun_replication::record::RecordType;
 use sedgerun_replication::subscribe::{
     LegacyPeers, RELAY_WAIT_MS, SubscribeReply, Subscription, SummaryReporter, Update,
@@ -51,14 +51,14 @@
                 continue;
             }
             let serves_followers = self.followers().count(now()) > 0;
-            let next = self.machine.read(|view| self.follower().next(now(), view, serves_followers));
+            let next = self.machine.read(|view| self.follower().next_step(now(), view, serves_followers));
             let poll = match next {
-                Next::Wait(until) => {
+                FollowerStep::Wait(until) => {
                     let wait = Duration::from_millis(until.saturating_sub(now()));
                     tokio::time::sleep(wait.clamp(Duration::from_millis(5), POLL_INTERVAL)).await;
                     continue;
                 }
-                Next::Poll(poll) => poll,
+                FollowerStep::Poll(poll) => poll,
             };
             if let Err(why) = self.poll_upstream(&mut polling, &poll).await {
                 tracing::debug!("fleet: not following {}: {why}", poll.peer.head);
@@ -68,7 +68,7 @@
         }
     }
 
-    async fn poll_upstream(&self, polling: &mut Polling, poll: &Poll) -> Result<(), String> {
+    async fn poll_upstream(&self, polling: &mut Polling, poll: &UpstreamPoll) -> Result<(), String> {
         let reply = match self.exchange(polling, poll).await {
             Ok(reply) => reply,
             Err(why) => {
@@ -88,7 +88,7 @@
     }
 
     /// One poll and its answer, in the way that the other end knows.
-    async fn exchange(&self, polling: &mut Polling, poll: &Poll) -> Result<SubscribeReply, String> {
+    async fn exchange(&self, polling: &mut Polling, poll: &UpstreamPoll) -> Result<SubscribeReply, String> {
         let to = self.links.route(&poll.peer.head, &poll.peer.address).ok_or("it has no address")?;
         let head = &poll.peer.head;
         let mut connection = match polling.connections.remove(head) {
@@ -131,11 +131,11 @@
         Ok(reply)
     }
 
-    fn subscription(&self, polling: &mut Polling, poll: &Poll) -> Call {
-        let (role, region, held, upstream) = {
+    fn subscription(&self, polling: &mut Polling, poll: &UpstreamPoll) -> Call {
+        let (role, region, cached, upstream) = {
             let follower = self.follower();
             let upstream = follower.upstream().map(|upstream| upstream.head.clone());
-            (follower.role(), follower.region().map(str::to_owned), follower.held_digests(), upstream)
+            (follower.role(), follower.region().map(str::to_owned), follower.cached_digests(), upstream)
         };
         // A head that is only probed is told nothing of the subtree.
         let is_upstream = upstream.as_ref() == Some(&poll.peer.head);
@@ -152,7 +152,7 @@
             since: poll.since,
             first_version: poll.first_version,
             wait: poll.wait,
-            held,
+            cached,
             // A voter that asks whether it is one still wants an answer, not an upstream.
             bypass_relays: poll.bypass_relays || self.votes(),
             summary,
@@ -160,7 +160,7 @@
     }
 
     /// The same poll in the words of earlier versions.
-    fn update_request(&self, polling: &mut Polling, poll: &Poll) -> Call {
+    fn update_request(&self, polling: &mut Polling, poll: &UpstreamPoll) -> Call {
         let own = self.links.own();
         let follower = Downstream {
             at: Peer { head: own.head, address: own.address },
--- a/crates/cluster/src/force_recovery.rs
+++ b/crates/cluster/src/force_recovery.rs
@@ -7,12 +7,12 @@
 use super::types::{Membership, SnapshotMeta, Vote, VoterAddress};
 use sedgerun_replication::greeting::origin;
 use sedgerun_replication::record::{self, RecordType};
-use sedgerun_replication::state::State;
+use sedgerun_replication::state::ReplicatedState;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What a store holds, as far as it can tell.
 struct Left {
-    state: State,
+    state: ReplicatedState,
     /// Version up to which this store knows that a majority had it.
     settled: u64,
 }
@@ -29,7 +29,7 @@
     let mut left = Left { settled: settled.view.version, state };
     if held.followed.version > left.state.view.version {
         // It has followed since: what it received is newer, and was settled.
-        (left.settled, left.state) = (held.followed.version, State::of(held.followed.clone()));
+        (left.settled, left.state) = (held.followed.version, ReplicatedState::of(held.followed.clone()));
     }
     let version = left.state.view.version;
     if version == 0 && held_last.is_none() {
--- a/crates/cluster/src/machine.rs
+++ b/crates/cluster/src/machine.rs
@@ -7,7 +7,7 @@
 use openraft::storage::RaftStateMachine;
 use openraft::{EntryPayload, ErrorVerb, OptionalSend, RaftSnapshotBuilder, Snapshot};
 use sedgerun_replication::record::{self, RecordType};
-use sedgerun_replication::state::{ChangeOutcome, State};
+use sedgerun_replication::state::{ChangeOutcome, ReplicatedState};
 use sedgerun_replication::view::View;
 use std::collections::BTreeMap;
 use std::io::Cursor;
@@ -24,7 +24,7 @@
 
 struct Inner {
     /// What this head applies as a voter.
-    state: State,
+    state: ReplicatedState,
     /// What it received as a follower, where that is newer.
     followed: View,
     applied: Option<LogId>,
@@ -45,7 +45,7 @@
         upto: u64,
     ) -> Result<Inner, String> {
         let mut inner = Inner {
-            state: State::default(),
+            state: ReplicatedState::default(),
             followed: View::default(),
             applied: None,
             membership: Membership::default(),
@@ -161,11 +161,11 @@
     snapshot: Option<(SnapshotMeta, Vec<u8>)>,
     log: &BTreeMap<u64, Entry>,
     upto: u64,
-) -> Result<State, String> {
+) -> Result<ReplicatedState, String> {
     Ok(Inner::replay(snapshot, log, upto)?.state)
 }
 
-fn decode_state(bytes: &[u8]) -> Result<State, String> {
+fn decode_state(bytes: &[u8]) -> Result<ReplicatedState, String> {
     record::open(RecordType::Snapshot, bytes).map_err(|corrupt| format!("state of a snapshot: {corrupt}"))
 }
 
--- a/crates/cluster/src/member.rs
+++ b/crates/cluster/src/member.rs
@@ -16,7 +16,7 @@
 use sedgerun_replication::follow::{Follower, Followers, Peer, Voters};
 use sedgerun_replication::greeting::{Greeting, StoreId, origin};
 use sedgerun_replication::relay::RelayRegistry;
-use sedgerun_replication::transfer_slots::TransferSlots;
+use sedgerun_replication::transfer_permits::TransferPermits;
 use sedgerun_replication::watermark::{Incarnation, Watermark};
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -81,7 +81,7 @@
     follower: Mutex<Follower>,
     followers: Mutex<Followers>,
     registry: Mutex<RelayRegistry>,
-    transfer_slots: Mutex<TransferSlots>,
+    transfer_slots: Mutex<TransferPermits>,
     /// Changes that wait to be written.
     pub changes: mpsc::Sender<PendingChange>,
 }
@@ -168,7 +168,7 @@
             follower: Mutex::new(follower),
             followers: Mutex::new(followers),
             registry: Mutex::default(),
-            transfer_slots: Mutex::new(TransferSlots::new(random()?)),
+            transfer_slots: Mutex::new(TransferPermits::new(random()?)),
             changes,
         })
     }
@@ -197,7 +197,7 @@
     }
 
     /// The large transfers to followers that go on.
-    pub fn transfer_slots(&self) -> MutexGuard<'_, TransferSlots> {
+    pub fn transfer_slots(&self) -> MutexGuard<'_, TransferPermits> {
         lock(&self.transfer_slots)
     }
 
--- a/crates/cluster/src/recovery.rs
+++ b/crates/cluster/src/recovery.rs
@@ -4,7 +4,7 @@
 use super::member::Member;
 use super::types::{Call, LogId, Reply, VoterAddress};
 use openraft::ServerState;
-use sedgerun_replication::election::Step;
+use sedgerun_replication::election::ElectionStep;
 use sedgerun_replication::record::RecordType;
 use sedgerun_replication::store::StoreId;
 use std::collections::{BTreeMap, BTreeSet};
@@ -111,18 +111,18 @@
             let voters: BTreeSet<StoreId> = membership.voter_ids().collect();
             let step = self.election().step(now(), metrics.id, &voters);
             match step {
-                Step::Wait(_) => {}
-                Step::Campaign => self.campaign().await,
-                Step::Ask(question, others) => {
+                ElectionStep::Wait(_) => {}
+                ElectionStep::Campaign => self.campaign().await,
+                ElectionStep::PreVote { round, voters: others } => {
                     let addresses = membership.nodes().filter(|(store, _)| others.contains(store));
                     let addresses = addresses.map(|(store, voter)| (*store, voter.clone())).collect();
-                    self.ask_voters(question, addresses).await;
+                    self.ask_voters(round, addresses).await;
                 }
             }
         }
     }
 
-    async fn ask_voters(&self, question: u64, others: Vec<(StoreId, VoterAddress)>) {
+    async fn ask_voters(&self, round: u64, others: Vec<(StoreId, VoterAddress)>) {
         let last = self.log.last();
         let mut asked = JoinSet::new();
         for (store, voter) in others {
@@ -143,8 +143,8 @@
             if self.log.has_unsynced_vote() {
                 return self.election().on_unsynced_vote();
             }
-            let step = self.election().on_answer(now(), question, store, true);
-            if step == Step::Campaign {
+            let step = self.election().on_answer(now(), round, store, true);
+            if step == ElectionStep::Campaign {
                 return self.campaign().await;
             }
         }
--- a/crates/cluster/src/repair.rs
+++ b/crates/cluster/src/repair.rs
@@ -6,7 +6,7 @@
 use openraft::ChangeMembers;
 use sedgerun_replication::election::Millis;
 use sedgerun_replication::follow::Downstream;
-use sedgerun_replication::repair::{self, Candidate, Step};
+use sedgerun_replication::repair::{self, RepairStep, VoterCandidate};
 use sedgerun_replication::store::StoreId;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::atomic::Ordering;
@@ -91,27 +91,27 @@
             ChangeMembers::ReplaceAllVoters(stay.chain(into).collect())
         };
         match step {
-            Step::AddLearner(Candidate { store, head, address, zone }) => {
+            RepairStep::AddLearner(VoterCandidate { store, head, address, zone }) => {
                 tracing::warn!("fleet: {head} is brought up to date, to become a voter");
                 let address = VoterAddress { head, address, zone };
                 self.change_membership(ChangeMembers::AddNodes(BTreeMap::from([(store, address)]))).await?;
             }
-            Step::Replace(out, into) => {
+            RepairStep::Replace(out, into) => {
                 tracing::warn!("fleet: {} votes in the place of {}", name(into), name(out));
                 self.change_membership(swapped(Some(out), Some(into))).await?;
                 self.repairs.fetch_add(1, Ordering::Relaxed);
             }
-            Step::Promote(into) => {
+            RepairStep::Promote(into) => {
                 tracing::warn!("fleet: {} votes, too", name(into));
                 self.change_membership(swapped(None, Some(into))).await?;
                 self.repairs.fetch_add(1, Ordering::Relaxed);
             }
-            Step::Remove(out) if voters.contains(&out) => {
+            RepairStep::Remove(out) if voters.contains(&out) => {
                 tracing::warn!("fleet: {} votes no more", name(out));
                 self.change_membership(swapped(Some(out), None)).await?;
                 self.repairs.fetch_add(1, Ordering::Relaxed);
             }
-            Step::Remove(out) => {
+            RepairStep::Remove(out) => {
                 tracing::warn!("fleet: {} is not to become a voter after all", name(out));
                 self.change_membership(ChangeMembers::RemoveNodes(BTreeSet::from([out]))).await?;
             }
@@ -128,7 +128,7 @@
     }
 
     /// The followers, whichever voter they are served by.
-    async fn candidates(&self, members: &[repair::GroupMember]) -> Vec<Candidate> {
+    async fn candidates(&self, members: &[repair::GroupMember]) -> Vec<VoterCandidate> {
         let mut all: BTreeMap<StoreId, Downstream> = BTreeMap::new();
         let membership = self.machine.membership();
         let mut asked = JoinSet::new();
@@ -149,7 +149,7 @@
         let is_member = |store: &StoreId| members.iter().any(|member| member.store == *store);
         let may_vote = |follower: &Downstream| !is_member(&follower.store) && !is_relay(&follower.store);
         let candidates = all.into_values().filter(may_vote);
-        let candidates = candidates.map(|Downstream { at, store, zone, .. }| Candidate {
+        let candidates = candidates.map(|Downstream { at, store, zone, .. }| VoterCandidate {
             store,
             head: at.head,
             address: at.address,
--- a/crates/cluster/src/upstream.rs
+++ b/crates/cluster/src/upstream.rs
@@ -3,16 +3,16 @@
 use super::environment::now;
 use super::member::Member;
 use super::types::{DistributionStatus, Reply, UpdateRequest};
-use sedgerun_replication::follow::{Admission, Asker, Downstream, Peer, UpdateReply};
+use sedgerun_replication::follow::{Admission, Downstream, Peer, PollingFollower, UpdateReply};
 use sedgerun_replication::greeting::Greeting;
 use sedgerun_replication::relay::{Directory, FollowerRole, RelayStatus};
 use sedgerun_replication::store::StoreId;
 use sedgerun_replication::subscribe::{
-    HeldDigests, MAX_POLL_WAIT_MS, MAX_REDIRECT_PEERS, RELAY_WAIT_MS, Route, SubscribeReply, Subscription,
+    CachedDigests, MAX_POLL_WAIT_MS, MAX_REDIRECT_PEERS, RELAY_WAIT_MS, Route, SubscribeReply, Subscription,
     Summary,
 };
-use sedgerun_replication::transfer_slots::SMALL_CHUNK_BYTES;
-use sedgerun_replication::upstream::{Source, is_up_to_date, needs_slot, redirect};
+use sedgerun_replication::transfer_permits::SMALL_CHUNK_BYTES;
+use sedgerun_replication::upstream::{UpdateSource, is_up_to_date, needs_permit, redirect};
 use sedgerun_replication::view::Chunk;
 use std::time::Duration;
 
@@ -31,14 +31,15 @@
             incarnation: from.incarnation.count,
         };
         let (role, bypass_relays) = (subscription.role, subscription.bypass_relays);
-        let asker = Asker { downstream, role, bypass_relays, summary: subscription.summary.clone() };
+        let asker =
+            PollingFollower { downstream, role, bypass_relays, summary: subscription.summary.clone() };
         let directory = self.directory();
         let relays_known = directory.as_ref().is_some_and(|directory| !directory.is_empty());
         let admission = self.followers().admit(now(), asker, relays_known);
         match admission {
             Admission::Admitted => {}
-            Admission::RedirectedToRelays => return redirected(directory, subscription.held, Vec::new()),
-            Admission::Full => return redirected(directory, subscription.held, self.followers().peers()),
+            Admission::RedirectedToRelays => return redirected(directory, subscription.cached, Vec::new()),
+            Admission::Full => return redirected(directory, subscription.cached, self.followers().peers()),
             Admission::DuplicateName => return Reply::Refused("two heads have this name".into()),
         }
         let wait = subscription.wait.min(MAX_POLL_WAIT_MS);
@@ -52,7 +53,7 @@
     /// The update for a follower, or when it may ask again where enough large transfers go on.
     fn update_within_slots(
         &self,
-        source: &Source,
+        source: &UpdateSource,
         subscription: &Subscription,
         store: StoreId,
     ) -> SubscribeReply {
@@ -60,7 +61,7 @@
         // One that would be refused is not made in full.
         let max_bytes = if has_slot { CHUNK_BYTES } else { SMALL_CHUNK_BYTES };
         let update = self.machine.read(|view| source.update(view, subscription, max_bytes));
-        if update.chunk.as_ref().is_some_and(needs_slot)
+        if update.chunk.as_ref().is_some_and(needs_permit)
             && let Err(wait) = self.transfer_slots().acquire(now(), store)
         {
             return SubscribeReply::RetryAfter(wait);
@@ -78,7 +79,7 @@
         }
         let UpdateRequest { follower, subtree, since, first_version, wait_ms } = request;
         let held = follower.version;
-        let asker = Asker {
+        let asker = PollingFollower {
             downstream: follower,
             role: FollowerRole::Head,
             // It cannot say whether it reaches a relay, so it is served as it was before there were relays.
@@ -96,7 +97,7 @@
         // One that is ahead of this head goes elsewhere at once.
         let has_news = |version| first_version != 0 || held != since || version != since;
         self.wait_for_change(wait_ms.min(RELAY_WAIT_MS), has_news).await;
-        let Some(Source { route, age, .. }) = self.source() else {
+        let Some(UpdateSource { route, age, .. }) = self.source() else {
             return Reply::Refused("has heard nothing of the fleet yet".into());
         };
         let Route { origin, path, leader, voters } = route;
@@ -126,14 +127,14 @@
     }
 
     /// What this head has to serve beside its view; `None` before it has heard of a fleet.
-    fn source(&self) -> Option<Source> {
+    fn source(&self) -> Option<UpdateSource> {
         let (path, age) = self.path_and_age();
         let (age, own) = (age?, self.links.own());
         let origin = Some(own.origin?);
         let leads = self.leads().then_some(Peer { head: own.head, address: own.address });
         let leader = leads.or_else(|| self.leader());
         let route = Route { origin, path, leader, voters: self.voters() };
-        Some(Source { route, age, directory: self.directory() })
+        Some(UpdateSource { route, age, directory: self.directory() })
     }
 
     /// The relays that this head knows: as a voter by their leases, else from its upstream; `None` where it does not
@@ -168,6 +169,6 @@
     }
 }
 
-fn redirected(directory: Option<Directory>, held: HeldDigests, peers: Vec<Peer>) -> Reply {
+fn redirected(directory: Option<Directory>, held: CachedDigests, peers: Vec<Peer>) -> Reply {
     Reply::Subscribed(SubscribeReply::Redirect(redirect(directory.as_ref(), held, peers)))
 }
--- a/crates/cluster/tests/frozen_messages.rs
+++ b/crates/cluster/tests/frozen_messages.rs
@@ -28,7 +28,7 @@
 use sedgerun_replication::relay::{Directory, FollowerRole, Relay, RelayStatus};
 use sedgerun_replication::state::{Change, ChangeOutcome, Command};
 use sedgerun_replication::subscribe::{
-    HeldDigests, Redirect, Route, SubscribeReply, Subscription, Summary, Update,
+    CachedDigests, Redirect, Route, SubscribeReply, Subscription, Summary, Update,
 };
 use sedgerun_replication::view::{Chunk, Fields, Key, Object, VersionedObject};
 use sedgerun_replication::watermark::{Incarnation, Watermark};
@@ -160,7 +160,7 @@
         since: 70_001,
         first_version: 70_002,
         wait: 3000,
-        held: HeldDigests { route: 0x89ab_cdef, directory: 0x0123_4567 },
+        cached: CachedDigests { route: 0x89ab_cdef, directory: 0x0123_4567 },
         bypass_relays: true,
         summary: Some(Summary { heads: 1000, lowest_version: 69_999, sample: vec![downstream()] }),
     }
--- a/crates/replication/src/election.rs
+++ b/crates/replication/src/election.rs
@@ -1,145 +1,170 @@
-//! When a voter campaigns: once it has heard nothing of a leader for a while, and a majority says that
-//! they have not either.
+//! When a voter campaigns: after it has had no heartbeat of a leader for a while, and a majority of the voters says that
+//! they have had none either (a pre-vote).
 //!
-//! Asking first keeps a voter that was cut off, stood still or hears nothing from ending the term of a leader
-//! that the others hear. It promises nothing: whether an election is won is for the consensus library, which counts
-//! votes; this decides only when one is worth its while. The waits are drawn anew each time, so that two voters
-//! that ended in a draw do not campaign together again.
+//! The pre-vote keeps a voter that was cut off, stalled or cannot receive from ending the term of a leader that the
+//! others hear from. It guarantees nothing: votes are counted by the consensus library, and this module decides only
+//! when an election is worth starting. All waits are drawn anew each time, so that two voters that split the vote do not
+//! campaign together again.
+//!
+//! [`Election`] belongs to one voter. It sends no messages; the caller carries out each [`ElectionStep`].
 
 use crate::store::StoreId;
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{Rng, SeedableRng};
 use std::collections::BTreeSet;
 
-/// Milliseconds on a clock that never goes back.
-pub type Millis = u64;
+pub use crate::time::Millis;
 
 /// Timeouts of elections, in milliseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct ElectionTimeouts {
     /// Silence of the leader after which it is no longer followed.
     pub leader_timeout_ms: Millis,
-    /// On top of it, up to this much by chance.
+    /// Random time added to it, at most.
     pub jitter_ms: Millis,
-    /// After a question that found no majority, or an election that was not won: up to this much, by chance, and
-    /// half of it at the least.
+    /// Time to the next attempt after a pre-vote without a majority or an election that was not won, at most; it is
+    /// random, and at least half of this.
     pub retry_ms: Millis,
 }
 
-/// What is to be done.
+/// What a voter does next.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Step {
-    /// Nothing before this time.
+pub enum ElectionStep {
+    /// Nothing before this time, in milliseconds.
     Wait(Millis),
-    /// Ask these voters whether they hear a leader, under this number.
-    Ask(u64, BTreeSet<StoreId>),
-    /// Stand for election.
+    /// Ask these voters whether they hear from a leader.
+    PreVote {
+        /// Number of the round, which the answers carry.
+        round: u64,
+        /// The voters to ask.
+        voters: BTreeSet<StoreId>,
+    },
+    /// Start an election.
     Campaign,
 }
 
+/// A pre-vote in progress.
+#[derive(Debug)]
+struct PreVoteRound {
+    number: u64,
+    recipients: BTreeSet<StoreId>,
+    /// Those that answered that they hear from no leader either.
+    without_leader: BTreeSet<StoreId>,
+}
+
 /// Decides when one voter campaigns.
 #[derive(Debug)]
 pub struct Election {
     timeouts: ElectionTimeouts,
     rng: ChaCha8Rng,
-    last_heartbeat: Millis,
-    due: Millis,
-    /// The question that is out: its number, who was asked, and who said that they hear nobody.
-    asked: Option<(u64, BTreeSet<StoreId>, BTreeSet<StoreId>)>,
-    questions: u64,
-    /// A vote of this voter is being written, so far as is known.
-    vote_unsynced: bool,
+    last_heartbeat_at: Millis,
+    next_step_at: Millis,
+    pre_vote: Option<PreVoteRound>,
+    rounds: u64,
+    /// A vote of this voter was not synced yet when the caller last checked.
+    has_unsynced_vote: bool,
 }
 
 impl Election {
-    /// A voter that begins now.
+    /// A voter that starts at `now`; `seed` feeds all random waits.
     pub fn new(timeouts: ElectionTimeouts, seed: u64, now: Millis) -> Election {
-        let rng = ChaCha8Rng::seed_from_u64(seed);
         let mut election = Election {
             timeouts,
-            rng,
-            last_heartbeat: now,
-            due: 0,
-            asked: None,
-            questions: 0,
-            vote_unsynced: false,
+            rng: ChaCha8Rng::seed_from_u64(seed),
+            last_heartbeat_at: now,
+            next_step_at: 0,
+            pre_vote: None,
+            rounds: 0,
+            has_unsynced_vote: false,
         };
-        election.due = now + timeouts.leader_timeout_ms + election.draw(timeouts.jitter_ms);
+        election.next_step_at = now + timeouts.leader_timeout_ms + election.random_up_to(timeouts.jitter_ms);
         election
     }
 
-    fn draw(&mut self, most: Millis) -> Millis {
+    fn random_up_to(&mut self, most: Millis) -> Millis {
         if most == 0 { 0 } else { u64::from(self.rng.next_u32()) % (most + 1) }
     }
 
-    /// The time to another try, in milliseconds.
-    fn draw_retry(&mut self) -> Millis {
+    /// The time to the next attempt, in milliseconds.
+    fn random_retry(&mut self) -> Millis {
         let half = self.timeouts.retry_ms / 2;
-        half + self.draw(half)
+        half + self.random_up_to(half)
     }
 
-    /// A heartbeat of a leader has come in.
+    /// A heartbeat of a leader has arrived.
     pub fn on_heartbeat(&mut self, now: Millis) {
-        self.last_heartbeat = self.last_heartbeat.max(now);
-        self.due = self.last_heartbeat + self.timeouts.leader_timeout_ms + self.draw(self.timeouts.jitter_ms);
-        self.asked = None;
+        self.last_heartbeat_at = self.last_heartbeat_at.max(now);
+        self.next_step_at = self.last_heartbeat_at
+            + self.timeouts.leader_timeout_ms
+            + self.random_up_to(self.timeouts.jitter_ms);
+        self.pre_vote = None;
     }
 
-    /// Whether a leader counts as alive, as answered to voters that ask.
+    /// Whether a leader counts as alive, as answered to the pre-votes of others.
     pub fn hears_leader(&self, now: Millis) -> bool {
-        now < self.last_heartbeat + self.timeouts.leader_timeout_ms
+        now < self.last_heartbeat_at + self.timeouts.leader_timeout_ms
     }
 
     /// Time since the last heartbeat of a leader, in milliseconds.
     pub fn leader_silence(&self, now: Millis) -> Millis {
-        now.saturating_sub(self.last_heartbeat)
+        now.saturating_sub(self.last_heartbeat_at)
     }
 
-    /// A vote of this voter, for itself or for another, is not synced yet. A campaign now would put a newer vote in
-    /// its place before anybody has counted it, and on disks slower than [`ElectionTimeouts::retry_ms`] no
-    /// election would ever be won. The next one waits for the sync, and for the retry's time after it.
+    /// A vote of this voter, for itself or for another, is not synced yet. A campaign now would replace it by a newer
+    /// vote before anybody has counted it, and on disks slower than [`ElectionTimeouts::retry_ms`] no election would
+    /// ever be won. The next campaign waits for the sync, and for the retry time after it.
     pub fn on_unsynced_vote(&mut self) {
-        self.vote_unsynced = true;
-        self.asked = None;
+        self.has_unsynced_vote = true;
+        self.pre_vote = None;
     }
 
-    /// What is to be done now, by a voter among these. It is not called while a vote of this voter is unsynced
+    /// What a voter does now, given all voters. Not to be called while a vote of this voter is unsynced
     /// ([`Election::on_unsynced_vote`]).
-    pub fn step(&mut self, now: Millis, own: StoreId, voters: &BTreeSet<StoreId>) -> Step {
-        if std::mem::take(&mut self.vote_unsynced) {
-            let retry = now + self.draw_retry();
-            self.due = self.due.max(retry);
+    pub fn step(&mut self, now: Millis, own: StoreId, voters: &BTreeSet<StoreId>) -> ElectionStep {
+        if std::mem::take(&mut self.has_unsynced_vote) {
+            let retry_at = now + self.random_retry();
+            self.next_step_at = self.next_step_at.max(retry_at);
         }
-        if now < self.due {
-            return Step::Wait(self.due);
+        if now < self.next_step_at {
+            return ElectionStep::Wait(self.next_step_at);
         }
-        self.due = now + self.draw_retry();
-        self.questions += 1;
+        self.next_step_at = now + self.random_retry();
+        self.rounds += 1;
         let others: BTreeSet<StoreId> = voters.iter().copied().filter(|voter| *voter != own).collect();
-        self.asked = Some((self.questions, others.clone(), BTreeSet::new()));
-        if others.is_empty() { self.campaign() } else { Step::Ask(self.questions, others) }
+        if others.is_empty() {
+            return self.campaign();
+        }
+        self.pre_vote = Some(PreVoteRound {
+            number: self.rounds,
+            recipients: others.clone(),
+            without_leader: BTreeSet::new(),
+        });
+        ElectionStep::PreVote { round: self.rounds, voters: others }
     }
 
-    /// A voter's answer to a question: whether it hears no leader either.
-    pub fn on_answer(&mut self, now: Millis, question: u64, from: StoreId, silent: bool) -> Step {
+    /// A voter has answered a pre-vote; `is_silent` says that it hears from no leader either.
+    pub fn on_answer(&mut self, now: Millis, round: u64, from: StoreId, is_silent: bool) -> ElectionStep {
         let hears_leader = self.hears_leader(now);
-        match &mut self.asked {
-            // Guards against late answers: since then a heartbeat came in, or the question was put anew.
-            Some((number, asked, agree))
-                if *number == question && !hears_leader && silent && asked.contains(&from) =>
+        match &mut self.pre_vote {
+            // Guards against late answers: a heartbeat has arrived since, or another round has begun.
+            Some(pre_vote)
+                if pre_vote.number == round
+                    && !hears_leader
+                    && is_silent
+                    && pre_vote.recipients.contains(&from) =>
             {
-                agree.insert(from);
-                if agree.len() + 1 > asked.len().div_ceil(2) {
+                pre_vote.without_leader.insert(from);
+                if pre_vote.without_leader.len() + 1 > pre_vote.recipients.len().div_ceil(2) {
                     return self.campaign();
                 }
             }
             _ => {}
         }
-        Step::Wait(self.due)
+        ElectionStep::Wait(self.next_step_at)
     }
 
-    fn campaign(&mut self) -> Step {
-        self.asked = None;
-        Step::Campaign
+    fn campaign(&mut self) -> ElectionStep {
+        self.pre_vote = None;
+        ElectionStep::Campaign
     }
 }
--- a/crates/replication/src/follow/avoidance.rs
+++ b/crates/replication/src/follow/avoidance.rs
@@ -1,13 +1,14 @@
-//! Relays that a follower leaves aside for a while, because they failed, were slow or were stale.
+//! Relays that a follower avoids for a while, because they failed, were slow or were stale. Each further failure doubles
+//! the time.
 
-use crate::election::Millis;
+use crate::time::Millis;
 use std::collections::BTreeMap;
 
 /// Time for which a relay is avoided after its first failure, in milliseconds; it doubles with each further one.
 const MIN_AVOIDANCE_MS: Millis = 1000;
 /// The longest such time, in milliseconds.
 const MAX_AVOIDANCE_MS: Millis = 30_000;
-/// Relays that are remembered so.
+/// Relays that are remembered, at most.
 const MAX_AVOIDED: usize = 128;
 
 #[derive(Clone, Copy, Debug)]
@@ -36,7 +37,7 @@
         *penalty = Penalty { failures: penalty.failures + 1, until: now + time };
     }
 
-    /// A relay serves well.
+    /// A relay has served an update that is not stale.
     pub(super) fn clear(&mut self, head: &str) {
         self.by_head.remove(head);
     }
--- /dev/null
+++ b/crates/replication/src/follow/follower/mod.rs
@@ -0,0 +1,126 @@
+//! One follower: which upstream it polls, when it looks for another, and what it accepts from an answer.
+//!
+//! [`Follower`] belongs to one head. The caller asks for the [next step](Follower::next_step), carries it out, and reports
+//! the answer ([`Follower::on_reply`]) or its absence ([`Follower::on_failure`]). The view is the caller's; a follower
+//! changes it only by complete transfers from an upstream that it accepts.
+//!
+//! - `poll`: the types of steps and their reasons
+//! - `step`: what to do next, probes and backoff
+//! - `reply`: answers and failures, changes of upstream
+//! - `update`: the content of one update
+
+mod poll;
+mod reply;
+mod step;
+mod update;
+
+pub use poll::{FollowerStep, Rejection, UpstreamPoll};
+
+use super::selection::{UpstreamCandidate, UpstreamCandidates};
+use crate::digest::digest_of;
+use crate::peer::{Peer, Voters};
+use crate::relay::{Directory, FollowerRole};
+use crate::subscribe::{CachedDigests, Route};
+use crate::time::Millis;
+use crate::view::Transfer;
+use poll::{PollPurpose, ScheduledProbe};
+use rand_chacha::ChaCha8Rng;
+use rand_chacha::rand_core::SeedableRng;
+
+/// State of one follower.
+#[derive(Debug)]
+pub struct Follower {
+    own: String,
+    rng: ChaCha8Rng,
+    candidates: UpstreamCandidates,
+    upstream: Option<UpstreamCandidate>,
+    /// The upstream is a relay that has lost contact with the voters, and is followed nevertheless.
+    is_stale: bool,
+    /// What the poll in progress is for.
+    purpose: Option<PollPurpose>,
+    probe: Option<ScheduledProbe>,
+    transfer: Transfer,
+    next_step_at: Millis,
+    consecutive_failures: u32,
+    route: Option<Route>,
+    /// When the view was last known to be the newest.
+    fresh_at: Option<Millis>,
+    /// The voters, as last received from an upstream.
+    pub voters: Voters,
+}
+
+impl Follower {
+    /// A follower of this name, which knows these heads from its settings; `seed` feeds all random choices.
+    pub fn new(own: &str, seeds: Vec<Peer>, seed: u64) -> Follower {
+        Follower {
+            own: own.to_owned(),
+            rng: ChaCha8Rng::seed_from_u64(seed),
+            candidates: UpstreamCandidates::new(own, seeds),
+            upstream: None,
+            is_stale: false,
+            purpose: None,
+            probe: None,
+            transfer: Transfer::default(),
+            next_step_at: 0,
+            consecutive_failures: 0,
+            route: None,
+            fresh_at: None,
+            voters: Voters::default(),
+        }
+    }
+
+    /// The same with a role and a region.
+    pub fn with_role(mut self, role: FollowerRole, region: Option<String>) -> Follower {
+        self.candidates.set_role(role, region);
+        self
+    }
+
+    /// Its role.
+    pub fn role(&self) -> FollowerRole {
+        self.candidates.role()
+    }
+
+    /// Its region, if it has one.
+    pub fn region(&self) -> Option<&str> {
+        self.candidates.region()
+    }
+
+    /// What this head has cached, for the upstream to leave out.
+    pub fn cached_digests(&self) -> CachedDigests {
+        CachedDigests {
+            route: self.route.as_ref().map_or(0, digest_of),
+            directory: self.directory().map_or(0, Directory::digest),
+        }
+    }
+
+    /// The heads over which the state came here, this one last.
+    pub fn path(&self) -> Vec<String> {
+        let path = self.route.iter().flat_map(|route| &route.path);
+        path.chain([&self.own]).cloned().collect()
+    }
+
+    /// The leader, as last received from an upstream.
+    pub fn leader(&self) -> Option<Peer> {
+        self.route.as_ref()?.leader.clone()
+    }
+
+    /// The relays, as last received; `None` before an upstream has said whether there are any.
+    pub fn directory(&self) -> Option<&Directory> {
+        self.candidates.directory()
+    }
+
+    /// The head that is followed.
+    pub fn upstream(&self) -> Option<&Peer> {
+        self.upstream.as_ref().map(|upstream| &upstream.peer)
+    }
+
+    /// Whether the upstream is a relay.
+    pub fn follows_relay(&self) -> bool {
+        self.upstream.as_ref().is_some_and(|upstream| upstream.is_relay)
+    }
+
+    /// How old the view may be, in milliseconds; `None` before the first update.
+    pub fn age(&self, now: Millis) -> Option<Millis> {
+        self.fresh_at.map(|fresh_at| now.saturating_sub(fresh_at))
+    }
+}
--- /dev/null
+++ b/crates/replication/src/follow/follower/step.rs
@@ -0,0 +1,117 @@
+//! What a follower does next: which head it polls and when, with backoff after failures and scheduled probes of other
+//! heads.
+
+use super::Follower;
+use super::poll::{FollowerStep, PollPurpose, ProbeReason, ScheduledProbe, UpstreamPoll};
+use crate::follow::selection::{UpstreamCandidate, random_below};
+use crate::relay::FollowerRole;
+use crate::subscribe::{HEAD_WAIT_MS, RELAY_WAIT_MS};
+use crate::time::Millis;
+use crate::view::View;
+
+/// Backoff after the first failure, in milliseconds; it doubles with each further one, and half of it is random.
+pub(super) const MIN_BACKOFF_MS: Millis = 50;
+/// The longest backoff, in milliseconds.
+const MAX_BACKOFF_MS: Millis = 2000;
+/// Doublings of the backoff, at most.
+const MAX_BACKOFF_DOUBLINGS: u32 = 6;
+/// A head that follows no relay, and learns of some, tries to move to one within this, in milliseconds.
+const FIRST_MOVE_JITTER_MS: Millis = 5000;
+/// Least and greatest time after which a follower tries to return to its first choice, in milliseconds.
+const RETURN_AFTER_MS: (Millis, Millis) = (30_000, 60_000);
+/// Least and greatest time between probes of a follower whose upstream is stale, in milliseconds.
+const PROBE_INTERVAL_MS: (Millis, Millis) = (5000, 10_000);
+
+impl Follower {
+    /// What to do now; `serves_followers` says whether this head has followers itself.
+    pub fn next_step(&mut self, now: Millis, view: &View, serves_followers: bool) -> FollowerStep {
+        if now < self.next_step_at {
+            return FollowerStep::Wait(self.next_step_at);
+        }
+        let Some(upstream) = self.upstream.clone() else { return self.next_attachment(now, view) };
+        let (since, first_version) = self.transfer.next_request(view);
+        // A transfer in progress is completed first.
+        let probe = self.probe.filter(|_| first_version == 0);
+        if let Some(probe) = probe.filter(|probe| now >= probe.at)
+            && let Some(candidate) = self.probe_candidate(now, &upstream, probe.reason)
+        {
+            let poll = self.poll(&candidate, (since, first_version), 0);
+            self.purpose = Some(PollPurpose::Probe(candidate, probe.reason));
+            return FollowerStep::Poll(poll);
+        }
+        let polls_often = serves_followers || self.is_stale || self.role() == FollowerRole::Relay;
+        let wait = if polls_often { RELAY_WAIT_MS } else { HEAD_WAIT_MS };
+        let until_probe = self.probe.map_or(wait, |probe| probe.at.saturating_sub(now).max(1));
+        let poll = self.poll(&upstream, (since, first_version), wait.min(until_probe));
+        self.purpose = Some(PollPurpose::Follow);
+        FollowerStep::Poll(poll)
+    }
+
+    fn next_attachment(&mut self, now: Millis, view: &View) -> FollowerStep {
+        let Some(candidate) = self.candidates.next(now, &self.voters, &mut self.rng) else {
+            return FollowerStep::Wait(now + MAX_BACKOFF_MS);
+        };
+        let poll = self.poll(&candidate, self.transfer.next_request(view), 0);
+        self.purpose = Some(PollPurpose::Attach(candidate));
+        FollowerStep::Poll(poll)
+    }
+
+    fn poll(&self, to: &UpstreamCandidate, (since, first_version): (u64, u64), wait: Millis) -> UpstreamPoll {
+        // A head that knows relays polls another only if it reaches none, or is about to move to one.
+        let bypass_relays = self.candidates.knows_relays() && !to.is_relay;
+        UpstreamPoll { peer: to.peer.clone(), since, first_version, wait, bypass_relays }
+    }
+
+    /// The head to probe now; if there is none, the probe is put off.
+    fn probe_candidate(
+        &mut self,
+        now: Millis,
+        upstream: &UpstreamCandidate,
+        reason: ProbeReason,
+    ) -> Option<UpstreamCandidate> {
+        let candidate = match reason {
+            ProbeReason::Fresher => self.candidates.next_probe(upstream, &self.voters),
+            ProbeReason::FirstChoice => {
+                self.candidates.better_than(now, upstream, &self.voters, &mut self.rng)
+            }
+        };
+        if candidate.is_none() {
+            self.reschedule_probe(now, reason);
+        }
+        candidate
+    }
+
+    /// Schedules a probe after a random time within a range, in milliseconds.
+    pub(super) fn schedule_probe(
+        &mut self,
+        now: Millis,
+        reason: ProbeReason,
+        (least, most): (Millis, Millis),
+    ) {
+        let at = now + least + random_below(&mut self.rng, most - least + 1);
+        self.probe = Some(ScheduledProbe { at, reason });
+    }
+
+    pub(super) fn reschedule_probe(&mut self, now: Millis, reason: ProbeReason) {
+        let range = match reason {
+            ProbeReason::Fresher => PROBE_INTERVAL_MS,
+            ProbeReason::FirstChoice if self.is_in_tree() => (MIN_BACKOFF_MS, FIRST_MOVE_JITTER_MS),
+            ProbeReason::FirstChoice => RETURN_AFTER_MS,
+        };
+        self.schedule_probe(now, reason, range);
+    }
+
+    /// Whether a head follows an ordinary head or a voter. If there are relays it moves to one soon; how often it tries
+    /// those that fail is bounded by the time for which they are avoided.
+    fn is_in_tree(&self) -> bool {
+        self.role() == FollowerRole::Head && !self.follows_relay()
+    }
+
+    /// The time to the next attempt after a failure, in milliseconds.
+    pub(super) fn next_backoff(&mut self) -> Millis {
+        let doublings = self.consecutive_failures.min(MAX_BACKOFF_DOUBLINGS);
+        let backoff = (MIN_BACKOFF_MS << doublings).min(MAX_BACKOFF_MS);
+        self.consecutive_failures += 1;
+        backoff / 2 + random_below(&mut self.rng, backoff / 2 + 1)
+    }
+}
--- a/crates/replication/src/follow/followers.rs
+++ b/crates/replication/src/follow/followers.rs
@@ -1,16 +1,19 @@
-//! The followers that a head serves.
+//! The followers that a head serves: admission, and the summary of the subtree behind it.
+//!
+//! [`Followers`] belongs to one head, voter or not. A follower is known from its polls alone, and forgotten when it no
+//! longer polls.
 
 use super::{FOLLOWER_TIMEOUT_MS, MAX_FOLLOWERS};
-use crate::election::Millis;
 use crate::peer::{Downstream, Peer};
 use crate::relay::{FollowerRole, MAX_RELAYS};
 use crate::store::StoreId;
 use crate::subscribe::{MAX_SAMPLE, Summary};
+use crate::time::Millis;
 use std::collections::BTreeMap;
 
-/// Followers that one head reports in its status at the most, direct and indirect.
+/// Followers that one head reports in its status, direct and indirect, at most.
 const MAX_SUBTREE: usize = 512;
-/// Between two looks for followers that have gone, in milliseconds.
+/// Time between sweeps for followers that no longer poll, in milliseconds.
 const SWEEP_INTERVAL_MS: Millis = 500;
 
 /// Whether a follower is served.
@@ -18,7 +21,7 @@
 pub enum Admission {
     /// It is served.
     Admitted,
-    /// It is to ask a relay.
+    /// It is to poll a relay.
     RedirectedToRelays,
     /// This head serves enough followers already; the follower is redirected to those.
     Full,
@@ -28,20 +31,21 @@
 
 /// A follower that polls.
 #[derive(Clone, Debug)]
-pub struct Asker {
-    /// Who it is, and what it holds.
+pub struct PollingFollower {
+    /// Its identity and version.
     pub downstream: Downstream,
-    /// What it is set aside for.
+    /// Its role.
     pub role: FollowerRole,
-    /// It is to be served though relays are known.
+    /// It is to be served although relays are known.
     pub bypass_relays: bool,
-    /// Its subtree, where it sent that.
+    /// The summary of its subtree, if it has sent one.
     pub summary: Option<Summary>,
 }
 
+/// A follower that has polled lately.
 #[derive(Debug)]
-struct Known {
-    seen_at: Millis,
+struct KnownFollower {
+    last_poll_at: Millis,
     downstream: Downstream,
     role: FollowerRole,
     summary: Summary,
@@ -50,12 +54,12 @@
 /// The followers of this head.
 #[derive(Debug)]
 pub struct Followers {
-    by_store: BTreeMap<StoreId, Known>,
-    /// Ordinary heads that are served at once; relays come on top.
+    by_store: BTreeMap<StoreId, KnownFollower>,
+    /// Ordinary heads that are served, at most; relays come on top.
     capacity: usize,
-    /// This head is a relay: it sends nobody on to other relays while it has room.
+    /// This head is a relay: it redirects nobody to other relays while it has capacity.
     is_relay: bool,
-    swept_at: Millis,
+    last_sweep_at: Millis,
 }
 
 impl Default for Followers {
@@ -65,18 +69,19 @@
 }
 
 impl Followers {
-    /// No followers yet, of a head that serves so many at once.
+    /// No followers yet, of a head with a role that serves up to `capacity` ordinary heads.
     pub fn new(role: FollowerRole, capacity: usize) -> Followers {
         let is_relay = role == FollowerRole::Relay;
-        Followers { by_store: BTreeMap::new(), capacity, is_relay, swept_at: 0 }
+        Followers { by_store: BTreeMap::new(), capacity, is_relay, last_sweep_at: 0 }
     }
 
     fn sweep(&mut self, now: Millis) {
-        self.by_store.retain(|_, known| now < known.seen_at + FOLLOWER_TIMEOUT_MS);
-        self.swept_at = now;
+        self.by_store.retain(|_, known| now < known.last_poll_at + FOLLOWER_TIMEOUT_MS);
+        self.last_sweep_at = now;
     }
 
-    fn has_room(&self, role: FollowerRole) -> bool {
+    /// Whether another follower of a role can be served.
+    fn has_capacity(&self, role: FollowerRole) -> bool {
         let served = self.by_store.values().filter(|known| known.role == role).count();
         let capacity = match role {
             FollowerRole::Head => self.capacity,
@@ -86,15 +91,15 @@
     }
 
     /// A follower polls; `relays_known` says whether this head knows live relays.
-    pub fn admit(&mut self, now: Millis, asker: Asker, relays_known: bool) -> Admission {
-        let Asker { downstream, role, bypass_relays, summary } = asker;
+    pub fn admit(&mut self, now: Millis, follower: PollingFollower, relays_known: bool) -> Admission {
+        let PollingFollower { downstream, role, bypass_relays, summary } = follower;
         let is_known = self.by_store.contains_key(&downstream.store);
-        // A head that follows this one already hears of the relays and moves by itself, in its own time.
+        // A head that follows this one already learns of the relays by updates and moves by itself.
         let is_for_relays = role == FollowerRole::Head && !bypass_relays && !is_known;
         if is_for_relays && relays_known && !self.is_relay {
             return Admission::RedirectedToRelays;
         }
-        if !is_known || now >= self.swept_at + SWEEP_INTERVAL_MS {
+        if !is_known || now >= self.last_sweep_at + SWEEP_INTERVAL_MS {
             self.sweep(now);
         }
         let known = self.by_store.get(&downstream.store);
@@ -102,21 +107,22 @@
             if self.by_store.values().any(|known| known.downstream.at.head == downstream.at.head) {
                 return Admission::DuplicateName;
             }
-            if !self.has_room(role) {
+            if !self.has_capacity(role) {
                 return Admission::Full;
             }
         }
         let summary = summary.map(Summary::bounded);
         let summary = summary.or(known.map(|known| known.summary.clone())).unwrap_or_default();
-        self.by_store.insert(downstream.store, Known { seen_at: now, downstream, role, summary });
+        self.by_store
+            .insert(downstream.store, KnownFollower { last_poll_at: now, downstream, role, summary });
         Admission::Admitted
     }
 
-    fn live(&self, now: Millis) -> impl Iterator<Item = &Known> {
-        self.by_store.values().filter(move |known| now < known.seen_at + FOLLOWER_TIMEOUT_MS)
+    fn live(&self, now: Millis) -> impl Iterator<Item = &KnownFollower> {
+        self.by_store.values().filter(move |known| now < known.last_poll_at + FOLLOWER_TIMEOUT_MS)
     }
 
-    /// The direct followers, which may have room.
+    /// The direct followers, which may have capacity.
     pub fn peers(&self) -> Vec<Peer> {
         self.by_store.values().map(|known| known.downstream.at.clone()).collect()
     }
@@ -126,7 +132,7 @@
         self.live(now).count()
     }
 
-    /// The followers of this head as far as they are known by name, direct and indirect.
+    /// The followers of this head that are known by name, direct and indirect.
     pub fn subtree(&self, now: Millis) -> Vec<Downstream> {
         let all =
             self.live(now).flat_map(|known| [&known.downstream].into_iter().chain(&known.summary.sample));
@@ -147,7 +153,7 @@
         Summary { heads, lowest_version, sample: self.sample(now) }
     }
 
-    /// Ordinary heads of the subtree, spread evenly over it; relays are not to vote, so nobody need know them here.
+    /// Ordinary heads of the subtree, spread evenly over it. Relays do not become voters, so they are left out.
     fn sample(&self, now: Millis) -> Vec<Downstream> {
         let all: Vec<&Downstream> = self
             .live(now)
--- a/crates/replication/src/follow/legacy.rs
+++ b/crates/replication/src/follow/legacy.rs
@@ -1,28 +1,29 @@
-//! The poll that heads of earlier versions send, and its answer.
+//! The answer to the poll of earlier versions, from before subscriptions. The order of its variants and fields is part of
+//! the wire format.
 
-use crate::election::Millis;
 use crate::peer::{Peer, Voters};
 use crate::subscribe::{MAX_REDIRECT_PEERS, Redirect, Route, SubscribeReply, Update};
+use crate::time::Millis;
 use crate::view::Chunk;
 use serde::{Deserialize, Serialize};
 
-/// An answer to a follower.
+/// An answer to a follower of an earlier version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum UpdateReply {
-    /// What the follower lacks, or nothing where nothing has changed for as long as it wanted to wait.
+    /// What the follower lacks, or an empty chunk if nothing has changed during its wait.
     Chunk {
         /// What it lacks.
         chunk: Chunk,
         /// The heads over which it came, a voter first.
         path: Vec<String>,
-        /// How long ago, in milliseconds, the voter that it came from was sure that nothing was newer.
+        /// Milliseconds since the voter from which it came was sure to have the newest version.
         age: Millis,
         /// The leader, as far as known.
         leader: Option<Peer>,
         /// The voters, as far as the upstream knows.
         voters: Voters,
     },
-    /// The head serves as many followers as it can; these may have room.
+    /// The head serves as many followers as it can; these may have capacity.
     Full {
         /// Its direct followers.
         redirect: Vec<Peer>,
@@ -30,7 +31,7 @@
 }
 
 impl UpdateReply {
-    /// The same as an answer to a subscription; the origin is that of the fleet, as the upstream says.
+    /// Converts it to the answer to a subscription, with the fleet's origin as the upstream gave it.
     pub fn into_subscribe_reply(self, origin: Option<u64>) -> SubscribeReply {
         match self {
             UpdateReply::Full { redirect: mut peers } => {
--- a/crates/replication/src/follow/selection.rs
+++ b/crates/replication/src/follow/selection.rs
@@ -1,53 +1,55 @@
 //! Which heads a follower may poll, and in which order.
+//!
+//! [`UpstreamCandidates`] belongs to one follower; it chooses, and the follower decides when to poll.
 
 use super::avoidance::Avoidance;
-use crate::election::Millis;
 use crate::peer::{Peer, Voters};
 use crate::relay::{Directory, FollowerRole, Relay};
+use crate::time::Millis;
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::Rng;
 
-/// Possible upstreams that a follower knows beside the relays.
+/// Possible upstreams that a follower knows beside the relays, at most.
 const MAX_KNOWN_PEERS: usize = 64;
 
-/// A number below a bound, by chance; 0 where the bound is 0.
+/// A random number below a bound; 0 if the bound is 0.
 pub(super) fn random_below(rng: &mut ChaCha8Rng, bound: u64) -> u64 {
     if bound == 0 { 0 } else { u64::from(rng.next_u32()) % bound }
 }
 
 /// A head that may be polled.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) struct Candidate {
+pub(super) struct UpstreamCandidate {
     pub(super) peer: Peer,
     pub(super) is_relay: bool,
 }
 
-impl Candidate {
-    fn relay(relay: &Relay) -> Candidate {
-        Candidate { peer: relay.peer.clone(), is_relay: true }
+impl UpstreamCandidate {
+    fn relay(relay: &Relay) -> UpstreamCandidate {
+        UpstreamCandidate { peer: relay.peer.clone(), is_relay: true }
     }
 }
 
 /// The heads that one follower knows.
 #[derive(Debug)]
-pub(super) struct Candidates {
+pub(super) struct UpstreamCandidates {
     own: String,
     role: FollowerRole,
     region: Option<String>,
     /// Those of the settings, which are never forgotten.
     seeds: Vec<Peer>,
-    /// Those yet to be tried in this round; the last is the next.
-    untried: Vec<Candidate>,
+    /// Those yet to be tried in this round; the last one is tried next.
+    untried: Vec<UpstreamCandidate>,
     /// The relays; `None` before an upstream has said whether there are any.
     directory: Option<Directory>,
     pub(super) avoidance: Avoidance,
-    /// Turn among those that are probed for a fresher state.
-    probe_turn: usize,
+    /// Position of the next head to be probed for a fresher state.
+    next_probe_index: usize,
 }
 
-impl Candidates {
-    pub(super) fn new(own: &str, seeds: Vec<Peer>) -> Candidates {
-        Candidates {
+impl UpstreamCandidates {
+    pub(super) fn new(own: &str, seeds: Vec<Peer>) -> UpstreamCandidates {
+        UpstreamCandidates {
             own: own.to_owned(),
             role: FollowerRole::Head,
             region: None,
@@ -55,7 +57,7 @@
             untried: Vec::new(),
             directory: None,
             avoidance: Avoidance::default(),
-            probe_turn: 0,
+            next_probe_index: 0,
         }
     }
 
@@ -93,8 +95,8 @@
         ranked.into_iter().find(|relay| !self.avoidance.contains(now, &relay.peer.head))
     }
 
-    /// The voters, as far as they are known.
-    fn voters(&self, voters: &Voters) -> Vec<Peer> {
+    /// The heads of the settings and the voters, as far as they are known.
+    fn known_voters(&self, voters: &Voters) -> Vec<Peer> {
         let mut all = self.seeds.clone();
         for voter in voters.by_store.values() {
             if voter.head != self.own && all.iter().all(|known| known.head != voter.head) {
@@ -105,11 +107,16 @@
     }
 
     /// The next head to be tried by a follower without an upstream.
-    pub(super) fn next(&mut self, now: Millis, voters: &Voters, rng: &mut ChaCha8Rng) -> Option<Candidate> {
+    pub(super) fn next(
+        &mut self,
+        now: Millis,
+        voters: &Voters,
+        rng: &mut ChaCha8Rng,
+    ) -> Option<UpstreamCandidate> {
         if self.role == FollowerRole::Head
             && let Some(relay) = self.available_relay(now)
         {
-            return Some(Candidate::relay(relay));
+            return Some(UpstreamCandidate::relay(relay));
         }
         if self.untried.is_empty() {
             self.begin_round(voters, rng);
@@ -117,14 +124,15 @@
         self.untried.pop()
     }
 
-    /// All heads that are known, each once and in an order by chance, so that a fleet that starts together does not
-    /// call one voter together. A relay tries the voters first.
+    /// All heads that are known, each once and in a random order, so that a fleet that starts together does not poll
+    /// one voter together. A relay tries the voters first.
     fn begin_round(&mut self, voters: &Voters, rng: &mut ChaCha8Rng) {
-        let voters = self.voters(voters);
-        let mut relays: Vec<Candidate> = self.ranked_relays().into_iter().map(Candidate::relay).collect();
+        let voters = self.known_voters(voters);
+        let mut relays: Vec<UpstreamCandidate> =
+            self.ranked_relays().into_iter().map(UpstreamCandidate::relay).collect();
         relays.retain(|relay| voters.iter().all(|voter| voter.head != relay.peer.head));
-        let mut voters: Vec<Candidate> =
-            voters.into_iter().map(|peer| Candidate { peer, is_relay: false }).collect();
+        let mut voters: Vec<UpstreamCandidate> =
+            voters.into_iter().map(|peer| UpstreamCandidate { peer, is_relay: false }).collect();
         if self.role == FollowerRole::Head {
             voters.append(&mut relays);
         }
@@ -134,20 +142,20 @@
         self.untried.append(&mut voters);
     }
 
-    /// Other heads that a head which is full has named.
+    /// Adds heads that another head has redirected to.
     pub(super) fn add_untried(&mut self, peers: Vec<Peer>, rng: &mut ChaCha8Rng) {
         for peer in peers {
             let is_known = peer.head == self.own
                 || self.untried.iter().any(|known| known.peer.head == peer.head)
                 || self.directory.as_ref().is_some_and(|directory| directory.get(&peer.head).is_some());
             if !is_known && self.untried.len() < MAX_KNOWN_PEERS {
-                let place = random_below(rng, self.untried.len() as u64 + 1) as usize;
-                self.untried.insert(place, Candidate { peer, is_relay: false });
+                let index = random_below(rng, self.untried.len() as u64 + 1) as usize;
+                self.untried.insert(index, UpstreamCandidate { peer, is_relay: false });
             }
         }
     }
 
-    /// The round is over: an upstream is found.
+    /// Ends the round: an upstream is found.
     pub(super) fn end_round(&mut self) {
         self.untried.clear();
     }
@@ -158,7 +166,7 @@
     }
 
     /// Whether this is the kind of upstream that the follower would choose first.
-    pub(super) fn is_first_choice(&self, upstream: &Candidate) -> bool {
+    pub(super) fn is_first_choice(&self, upstream: &UpstreamCandidate) -> bool {
         match self.role {
             FollowerRole::Head => {
                 let ranked = self.ranked_relays();
@@ -172,42 +180,48 @@
     pub(super) fn better_than(
         &self,
         now: Millis,
-        upstream: &Candidate,
+        upstream: &UpstreamCandidate,
         voters: &Voters,
         rng: &mut ChaCha8Rng,
-    ) -> Option<Candidate> {
+    ) -> Option<UpstreamCandidate> {
         match self.role {
             FollowerRole::Head => {
                 let ranked = self.ranked_relays().into_iter();
                 let mut better = ranked.take_while(|relay| relay.peer.head != upstream.peer.head);
                 let found = better.find(|relay| !self.avoidance.contains(now, &relay.peer.head));
-                found.map(Candidate::relay)
+                found.map(UpstreamCandidate::relay)
             }
             FollowerRole::Relay if upstream.is_relay => {
-                let mut voters = self.voters(voters);
-                let turn = random_below(rng, voters.len() as u64) as usize;
-                (!voters.is_empty()).then(|| Candidate { peer: voters.swap_remove(turn), is_relay: false })
+                let mut voters = self.known_voters(voters);
+                let index = random_below(rng, voters.len() as u64) as usize;
+                (!voters.is_empty())
+                    .then(|| UpstreamCandidate { peer: voters.swap_remove(index), is_relay: false })
             }
             FollowerRole::Relay => None,
         }
     }
 
     /// The next of all others, for a follower whose upstream is stale.
-    pub(super) fn next_probe(&mut self, upstream: &Candidate, voters: &Voters) -> Option<Candidate> {
-        let mut others: Vec<Candidate> = self.ranked_relays().into_iter().map(Candidate::relay).collect();
-        let voters = self.voters(voters).into_iter();
-        others.extend(voters.map(|peer| Candidate { peer, is_relay: false }));
+    pub(super) fn next_probe(
+        &mut self,
+        upstream: &UpstreamCandidate,
+        voters: &Voters,
+    ) -> Option<UpstreamCandidate> {
+        let mut others: Vec<UpstreamCandidate> =
+            self.ranked_relays().into_iter().map(UpstreamCandidate::relay).collect();
+        let voters = self.known_voters(voters).into_iter();
+        others.extend(voters.map(|peer| UpstreamCandidate { peer, is_relay: false }));
         others.retain(|other| other.peer.head != upstream.peer.head);
         if others.is_empty() {
             return None;
         }
-        let turn = self.probe_turn % others.len();
-        self.probe_turn = turn + 1;
-        Some(others.swap_remove(turn))
+        let index = self.next_probe_index % others.len();
+        self.next_probe_index = index + 1;
+        Some(others.swap_remove(index))
     }
 }
 
-fn shuffle(candidates: &mut [Candidate], rng: &mut ChaCha8Rng) {
+fn shuffle(candidates: &mut [UpstreamCandidate], rng: &mut ChaCha8Rng) {
     for last in (1..candidates.len()).rev() {
         candidates.swap(last, random_below(rng, last as u64 + 1) as usize);
     }
--- a/crates/replication/src/greeting.rs
+++ b/crates/replication/src/greeting.rs
@@ -1,61 +1,59 @@
-//! What two heads say first on a connection, and whether they go on.
+//! The handshake of two heads on a new connection: what each says about itself, and whether the other admits it.
+//!
+//! Whether a store is an older copy of its disk is decided by [`watermark`](crate::watermark).
 
 pub use crate::store::StoreId;
 use crate::watermark::{Incarnation, Watermark};
 use serde::{Deserialize, Serialize};
-use std::fmt;
+use thiserror::Error;
 
-/// The words of a head.
+/// What a head says about itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Greeting {
     /// The fleet's name in the settings.
     pub fleet: String,
-    /// What all heads of the fleet know and nobody else.
+    /// The secret that all heads of the fleet share.
     pub secret: String,
     /// The head's name.
     pub head: String,
     /// Its store; `None` from the command line.
     pub store: Option<StoreId>,
-    /// Its zone, where there is one.
+    /// Its zone, if it has one.
     pub zone: Option<String>,
-    /// Where others call it, as it knows.
+    /// The address at which others reach it, as far as it knows.
     pub address: String,
     /// Its store's incarnation.
     pub incarnation: Incarnation,
-    /// How far it was when this incarnation began.
+    /// How far its store was when this incarnation began.
     pub initial_watermark: Watermark,
-    /// The origin of what it holds: a digest of the first voters' stores, `None` while it holds nothing.
+    /// The origin of its state: a digest of the first voters' stores ([`origin`]); `None` while it has no state.
     pub origin: Option<u64>,
 }
 
-/// Why a head is not spoken to.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+/// Why a head rejects a connection.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, Error)]
 pub enum Refusal {
-    /// It is of a fleet with another name.
+    /// The other head belongs to a fleet with another name.
+    #[error("of another fleet")]
     Fleet,
     /// It does not know the secret.
+    #[error("wrong secret")]
     Secret,
-    /// It holds the state of another fleet, though of the same name.
+    /// It has the state of another fleet, though one of the same name.
+    #[error("holds the state of another fleet of this name")]
     Origin,
-    /// It has this head's name, and is another store.
+    /// It has this head's name, and another store.
+    #[error("two heads have this name")]
     Name,
-    /// It has forgotten what it acknowledged: an older copy of its disk.
+    /// It has forgotten what it acknowledged: its disk is an older copy.
+    #[error("an older copy of its disk, and has forgotten what it acknowledged")]
     RolledBack,
 }
 
-impl fmt::Display for Refusal {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(match self {
-            Refusal::Fleet => "of another fleet",
-            Refusal::Secret => "wrong secret",
-            Refusal::Origin => "holds the state of another fleet of this name",
-            Refusal::Name => "two heads have this name",
-            Refusal::RolledBack => "an older copy of its disk, and has forgotten what it acknowledged",
-        })
-    }
-}
-
-/// Whether a head goes on with one that said this.
+/// Whether a head admits one that says this about itself.
+///
+/// # Errors
+/// Why it rejects it.
 pub fn admit(own: &Greeting, theirs: &Greeting) -> Result<(), Refusal> {
     if !secrets_match(own.secret.as_bytes(), theirs.secret.as_bytes()) {
         return Err(Refusal::Secret);
@@ -74,16 +72,16 @@
     Ok(())
 }
 
-/// Whether two secrets are the same, in a time that tells nothing of where they differ.
+/// Whether two secrets are equal, in a time that does not depend on where they differ.
 pub fn secrets_match(a: &[u8], b: &[u8]) -> bool {
     a.len() == b.len() && a.iter().zip(b).fold(0, |differ, (a, b)| differ | (a ^ b)) == 0
 }
 
-/// The origin of a fleet that these stores begin: the same whoever computes it.
+/// The origin of a fleet whose first voters have these stores: the same on whichever head it is computed.
 pub fn origin(stores: impl IntoIterator<Item = StoreId>) -> u64 {
     let mut stores: Vec<StoreId> = stores.into_iter().collect();
     stores.sort_unstable();
-    // FNV-1a over the sorted names: they are random already.
+    // FNV-1a over the sorted numbers, which are random already.
     let bytes = stores.iter().flat_map(|store| store.to_le_bytes());
     bytes.fold(0xcbf2_9ce4_8422_2325, |sum, byte| (sum ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3))
 }
--- a/crates/replication/src/peer.rs
+++ b/crates/replication/src/peer.rs
@@ -1,4 +1,4 @@
-//! Heads as others know them: where one is called, what one holds, and which of them vote.
+//! Heads as other heads know them: their address, their version, and which of them vote.
 
 use crate::store::StoreId;
 use serde::{Deserialize, Serialize};
@@ -9,7 +9,7 @@
 pub struct Peer {
     /// Its name.
     pub head: String,
-    /// Where it is called.
+    /// The address at which other heads reach it, as `IP:port`.
     pub address: String,
 }
 
@@ -20,28 +20,28 @@
     pub at: Peer,
     /// Its store.
     pub store: StoreId,
-    /// Its zone, where there is one.
+    /// Its zone, if it has one.
     pub zone: Option<String>,
-    /// The version that it holds.
+    /// The version of the state that it has.
     pub version: u64,
-    /// Its incarnation; `fleet status --json` gives it by its deprecated name, too.
+    /// Its incarnation: counted up at each start. `fleet status --json` has it under its deprecated name as well.
     #[serde(rename = "life")]
     pub incarnation: u64,
 }
 
-/// The voters, as settled at a position of the log.
+/// The voters, as committed at a position of the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Voters {
-    /// Index of the log entry that settled it.
+    /// Index of the log entry that committed this membership.
     pub log_index: u64,
     /// The stores with their heads.
     pub by_store: BTreeMap<StoreId, Peer>,
 }
 
 impl Voters {
-    /// Whether a store that knows of voters as of its own log index is no longer one.
+    /// Whether a store, whose own membership dates from `log_index`, has since been removed from the voters.
     pub fn excludes(&self, own: StoreId, log_index: u64) -> bool {
-        // Guards against old news: a store that was let in since is not in it either.
+        // Guards against an outdated membership: a store that was added since is missing from it, too.
         self.log_index > log_index && !self.by_store.contains_key(&own)
     }
 }
--- a/crates/replication/src/record.rs
+++ b/crates/replication/src/record.rs
@@ -1,25 +1,27 @@
-//! Records: what goes to a disk or to another head, with a kind, a format version and a checksum.
+//! Records: the envelope of everything that goes to a disk or to another head, with a type, a format version and a
+//! checksum.
 //!
-//! A record is its kind (1 byte), the format version (1 byte), the CRC-32 of kind, version and body (4 bytes,
-//! little-endian), then the body in postcard's form.
+//! A record is its type (1 byte), the format version (1 byte), the CRC-32 of type, version and body (4 bytes,
+//! little-endian), then the body as encoded by postcard. Neither the numbers of the types nor the order of the fields
+//! and variants of what is encoded may change: stored data and heads of other versions rely on them.
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
-use std::fmt;
+use thiserror::Error;
 
-/// Why a value cannot be written down.
+/// Why a value cannot be encoded.
 pub use postcard::Error as EncodeError;
 
-/// The format that this program writes. It reads no other.
+/// The format version that this program writes. It reads no other.
 pub const FORMAT_VERSION: u8 = 2;
-/// Bytes of a record before its body.
+/// Length of a record's header, in bytes.
 pub const HEADER_BYTES: usize = 6;
 
-/// What a record is of; one read as another kind is refused.
+/// What a record contains. A record of one type is never read as another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum RecordType {
-    /// Who holds a store.
+    /// The identity of a store.
     Identity = 1,
     /// A vote in an election.
     Vote = 2,
@@ -27,55 +29,44 @@
     Entry = 3,
     /// A position in the log.
     Position = 4,
-    /// A snapshot: its description.
+    /// The metadata of a snapshot.
     SnapshotHead = 5,
-    /// A snapshot: the state.
+    /// The state in a snapshot.
     Snapshot = 6,
-    /// What a head says first on a connection.
+    /// The handshake on a connection between heads.
     Greeting = 7,
-    /// A call of one head to another.
+    /// A request of one head to another.
     Call = 8,
-    /// The answer to a call.
+    /// The response to a request.
     Reply = 9,
-    /// What is remembered of other stores.
+    /// Watermarks of other stores.
     Watermarks = 10,
-    /// What a follower holds.
+    /// The view of a follower.
     View = 11,
-    /// A backup.
+    /// A backup of the whole state.
     Backup = 12,
 }
 
 /// Why a record cannot be read.
-#[derive(Clone, Debug, PartialEq, Eq)]
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum CorruptRecord {
-    /// Shorter than any record.
+    /// It is shorter than any record.
+    #[error("cut short")]
     Truncated,
-    /// The checksum differs: torn or altered.
+    /// The checksum differs: it was torn or altered.
+    #[error("checksum differs")]
     Checksum,
-    /// Written in this format, which this program does not read.
+    /// It was written in this format version, which this program does not read.
+    #[error("format {0}; this program reads {supported}", supported = FORMAT_VERSION)]
     Format(u8),
-    /// It is of another kind than asked for.
+    /// It is of this type, and not of the expected one.
+    #[error("a record of kind {0} stands here")]
     RecordType(u8),
-    /// The body is malformed though the checksum holds.
+    /// The body is malformed although the checksum matches.
+    #[error("malformed body")]
     Body,
 }
 
-impl fmt::Display for CorruptRecord {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            CorruptRecord::Truncated => write!(f, "cut short"),
-            CorruptRecord::Checksum => write!(f, "checksum differs"),
-            CorruptRecord::Format(format) => {
-                write!(f, "format {format}; this program reads {FORMAT_VERSION}")
-            }
-            CorruptRecord::RecordType(record_type) => write!(f, "a record of kind {record_type} stands here"),
-            CorruptRecord::Body => write!(f, "malformed body"),
-        }
-    }
-}
-
-impl std::error::Error for CorruptRecord {}
-
 fn checksum(record_type: u8, format: u8, body: &[u8]) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
     hasher.update(&[record_type, format]);
@@ -83,7 +74,10 @@
     hasher.finalize()
 }
 
-/// Writes a value as a record; the error is the serializer's.
+/// Encodes a value as a record.
+///
+/// # Errors
+/// The serializer's.
 pub fn seal<T: Serialize>(record_type: RecordType, value: &T) -> Result<Vec<u8>, EncodeError> {
     let mut record = postcard::to_extend(value, vec![0; HEADER_BYTES])?;
     let sum = checksum(record_type as u8, FORMAT_VERSION, &record[HEADER_BYTES..]);
@@ -92,7 +86,10 @@
     Ok(record)
 }
 
-/// Reads a record of a kind.
+/// Decodes a record of a type.
+///
+/// # Errors
+/// What is wrong with the record.
 pub fn open<T: DeserializeOwned>(record_type: RecordType, record: &[u8]) -> Result<T, CorruptRecord> {
     let &[found, format, a, b, c, d, ref body @ ..] = record else { return Err(CorruptRecord::Truncated) };
     if checksum(found, format, body) != u32::from_le_bytes([a, b, c, d]) {
@@ -104,7 +101,7 @@
     if found != record_type as u8 {
         return Err(CorruptRecord::RecordType(found));
     }
-    // Guards against a record read as another type that begins alike.
+    // Guards against a record read as another Rust type whose encoding begins alike.
     match postcard::take_from_bytes(body) {
         Ok((value, [])) => Ok(value),
         _ => Err(CorruptRecord::Body),
--- a/crates/replication/src/relay.rs
+++ b/crates/replication/src/relay.rs
@@ -1,35 +1,38 @@
 //! Relays: followers set aside to serve many others, and the directory by which heads find them.
 //!
 //! Each relay registers with every voter and renews its lease every [`REGISTRATION_INTERVAL_MS`]; a lease that is not
-//! renewed expires after [`LEASE_MS`]. The voters' directory of live relays travels down the tree with the updates, and
-//! each head ranks the relays for itself: those of its own region first, spread by rendezvous hashing over the names.
+//! renewed expires after [`LEASE_MS`]. The voters' directory of live relays is replicated down the tree with the
+//! updates, and each head ranks the relays for itself: those of its own region first, spread by rendezvous hashing over
+//! the names.
+//!
+//! A [`RelayRegistry`] belongs to one voter and is not replicated: each voter grants its own leases.
 
 use crate::digest::digest_of;
-use crate::election::Millis;
 use crate::peer::Peer;
 use crate::store::StoreId;
+use crate::time::Millis;
 use serde::{Deserialize, Serialize};
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
-use std::fmt;
 use std::hash::{DefaultHasher, Hash, Hasher};
+use thiserror::Error;
 
 /// Between two registrations of a relay with a voter, in milliseconds.
 pub const REGISTRATION_INTERVAL_MS: Millis = 2000;
-/// A registration is valid for so long, in milliseconds: two renewals may be lost.
+/// A registration is valid for this long, in milliseconds: two renewals may fail.
 pub const LEASE_MS: Millis = 3 * REGISTRATION_INTERVAL_MS;
-/// Relays in a directory.
+/// Relays in a directory, at most.
 pub const MAX_RELAYS: usize = 64;
-/// Followers that one relay serves directly, where its descriptors allow it.
+/// Followers that one relay serves directly, at most, if its file descriptors allow it.
 pub const RELAY_CAPACITY: usize = 1024;
 
-/// What a follower is set aside for.
+/// The role of a follower in the distribution of updates.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FollowerRole {
-    /// An ordinary head.
+    /// An ordinary head, which serves clients.
     #[default]
     Head,
-    /// A relay.
+    /// A head set aside to serve other followers.
     Relay,
 }
 
@@ -38,9 +41,9 @@
 pub struct Relay {
     /// Its name and address.
     pub peer: Peer,
-    /// Its region, where there is one.
+    /// Its region, if it has one.
     pub region: Option<String>,
-    /// Its zone, where there is one.
+    /// Its zone, if it has one.
     pub zone: Option<String>,
     /// Its store.
     pub store: StoreId,
@@ -55,7 +58,7 @@
 }
 
 impl Directory {
-    /// A directory of these relays; those past [`MAX_RELAYS`] are left out.
+    /// A directory of these relays, each name once; those past [`MAX_RELAYS`] are left out.
     pub fn new(relays: impl IntoIterator<Item = Relay>) -> Directory {
         let mut relays: Vec<Relay> = relays.into_iter().collect();
         relays.sort_by(|a, b| a.peer.head.cmp(&b.peer.head));
@@ -74,18 +77,18 @@
         self.relays.is_empty()
     }
 
-    /// The relay of a name.
+    /// The relay with a name.
     pub fn get(&self, head: &str) -> Option<&Relay> {
         self.relays.iter().find(|relay| relay.peer.head == head)
     }
 
-    /// Digest by which two heads find out whether they hold the same directory.
+    /// Digest by which two heads find out whether they have the same directory.
     pub fn digest(&self) -> u32 {
         digest_of(&self.relays)
     }
 
     /// The relays in the order in which a head prefers them: those of its own region first, and within a region by
-    /// rendezvous hashing, so that each head has an order of its own and the loss of one relay spreads over the rest.
+    /// rendezvous hashing, so that each head has an order of its own and the followers of a failed relay spread over the rest.
     pub fn ranked(&self, head: &str, region: Option<&str>) -> Vec<&Relay> {
         let mut ranked: Vec<&Relay> = self.relays.iter().filter(|relay| relay.peer.head != head).collect();
         ranked.sort_by_cached_key(|relay| {
@@ -105,31 +108,22 @@
 }
 
 /// Why a relay is not registered.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum RegistrationError {
-    /// Another store holds a live lease under this name.
+    /// Another store has a live lease under this name.
+    #[error("two heads have this name")]
     DuplicateName,
-    /// [`MAX_RELAYS`] others hold live leases.
+    /// [`MAX_RELAYS`] others have live leases.
+    #[error("the fleet has as many relays as it can hold")]
     DirectoryFull,
 }
 
-impl fmt::Display for RegistrationError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(match self {
-            RegistrationError::DuplicateName => "two heads have this name",
-            RegistrationError::DirectoryFull => "the fleet has as many relays as it can hold",
-        })
-    }
-}
-
-impl std::error::Error for RegistrationError {}
-
 /// A registered relay and its load.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RelayStatus {
     /// The relay.
     pub relay: Relay,
-    /// Followers that it serves directly, as it said last.
+    /// Followers that it serves directly, as last reported.
     pub followers: u32,
 }
 
@@ -143,12 +137,12 @@
 #[derive(Debug, Default)]
 pub struct RelayRegistry {
     by_name: BTreeMap<String, Lease>,
-    /// Since when this head votes without a break; `None` while it does not.
+    /// Since when this head has been a voter without interruption; `None` while it is none.
     voting_since: Option<Millis>,
 }
 
 impl RelayRegistry {
-    /// Notes whether this head votes now.
+    /// Sets whether this head votes now; when it stops voting, all leases end.
     pub fn set_voting(&mut self, now: Millis, votes: bool) {
         match (votes, self.voting_since) {
             (true, None) => self.voting_since = Some(now),
@@ -158,6 +152,9 @@
     }
 
     /// Grants or renews a lease.
+    ///
+    /// # Errors
+    /// The name is in use by another store, or there are too many relays.
     pub fn register(&mut self, now: Millis, status: RelayStatus) -> Result<(), RegistrationError> {
         self.by_name.retain(|_, lease| now < lease.expires_at);
         let relay = &status.relay;
@@ -178,8 +175,8 @@
         live.map(|lease| lease.status.clone()).collect()
     }
 
-    /// The directory, or `None` while it may be incomplete: a voter that has just started has not yet heard of relays
-    /// that live, and an empty directory would send their followers away.
+    /// The directory, or `None` while it may be incomplete: a voter that has just started does not know all live
+    /// relays yet, and an empty directory would send their followers away.
     pub fn directory(&self, now: Millis) -> Option<Directory> {
         let is_complete = self.voting_since.is_some_and(|since| now >= since + LEASE_MS);
         is_complete.then(|| Directory::new(self.relays(now).into_iter().map(|status| status.relay)))
--- a/crates/replication/src/repair.rs
+++ b/crates/replication/src/repair.rs
@@ -1,173 +1,247 @@
-//! Repair of the voter group: when a voter is dead, and who replaces it. One change at a time, and none by which a
-//! majority is lost.
+//! Repair of the voter group: when a voter counts as dead, and which head replaces it. One change at a time, and none
+//! that loses a majority.
 //!
-//! The leader asks [`next_step`] with what it knows. A change of voters is itself settled by the voters before and
-//! after it, so a wrong guess here costs time, never a promise; what it must not do is leave the fleet with a
-//! majority that is not there.
+//! The leader calls [`next_step`] with what it knows. Each change of voters is itself committed by the voters before and
+//! after it, so a wrong guess here costs time and never a committed entry; what must not happen is that a change leaves
+//! the group without a reachable majority.
 
 use crate::store::StoreId;
 use crate::view::Rules;
+use std::cmp::Reverse;
 
 /// Silence after which a voter counts as unreachable, in milliseconds: no change relies on it.
 pub const UNREACHABLE_AFTER_MS: u64 = 1500;
-/// Silence after which a voter is declared dead where the rules do not say, in milliseconds.
+/// Silence after which a voter is declared dead, in milliseconds, unless the rules say otherwise.
 pub const DEFAULT_DEAD_AFTER_MS: u64 = 30_000;
-/// A learner that lacks no more entries than this is promoted to a voter.
+/// Silence after which a learner is dropped, in milliseconds.
+const LEARNER_TIMEOUT_MS: u64 = {
+    let tenth = DEFAULT_DEAD_AFTER_MS / 10;
+    if tenth > UNREACHABLE_AFTER_MS { tenth } else { UNREACHABLE_AFTER_MS }
+};
+/// A learner that lacks no more log entries than this is promoted to a voter.
 const MAX_LEARNER_LAG: u64 = 64;
 
-/// A voter or learner of the consensus group as the leader knows it.
+/// A voter or learner of the consensus group, as the leader knows it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GroupMember {
     /// Its store.
     pub store: StoreId,
     /// Its head's name.
     pub head: String,
-    /// Its zone, where there is one.
+    /// Its zone, if it has one.
     pub zone: Option<String>,
-    /// It votes; otherwise it is a learner, which is only brought up to date.
+    /// It votes; otherwise it is a learner, which only receives the log.
     pub votes: bool,
-    /// How long it has been silent, in milliseconds; 0 for the leader itself.
+    /// Time since its last answer, in milliseconds; 0 for the leader itself.
     pub silent_ms: u64,
-    /// Entries that it lacks; `None` where that is not known.
+    /// Log entries that it lacks; `None` if that is not known.
     pub lag: Option<u64>,
 }
 
 /// A follower that could become a voter.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Candidate {
+pub struct VoterCandidate {
     /// Its store.
     pub store: StoreId,
     /// Its name.
     pub head: String,
-    /// Where it is called.
+    /// The address at which other heads reach it.
     pub address: String,
-    /// Its zone, where there is one.
+    /// Its zone, if it has one.
     pub zone: Option<String>,
 }
 
 /// One membership change.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum RepairStep {
     /// Add this head as a learner; it does not vote yet.
-    AddLearner(Candidate),
+    AddLearner(VoterCandidate),
     /// Replace the first store by the second as a voter.
     Replace(StoreId, StoreId),
     /// Make this learner a voter.
     Promote(StoreId),
-    /// Remove this one from the group.
+    /// Remove this store from the group.
     Remove(StoreId),
 }
 
-/// How many of so many voters are a majority.
-pub fn majority(of: usize) -> usize {
-    of / 2 + 1
+/// Why a voter has to leave, the most urgent reason first.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+enum DepartureReason {
+    /// Its head runs with another store: the disk that it had is gone.
+    Wiped,
+    /// It has been silent for too long.
+    Dead,
+    /// Operators have declared its store dead.
+    DeclaredDead,
+    /// Operators do not let its head vote.
+    Barred,
 }
 
-/// Why a voter has to leave, as a rank, the worst first; `None` for one that stays.
-fn departure_rank(
-    member: &GroupMember,
-    rules: &Rules,
-    members: &[GroupMember],
-    candidates: &[Candidate],
-) -> Option<u8> {
-    let dead_after_ms = if rules.dead_after_ms == 0 { DEFAULT_DEAD_AFTER_MS } else { rules.dead_after_ms };
-    // Its head is there with another store: the disk it had is gone, however short the silence.
-    let named = |head: &str, store: StoreId| head == member.head && store != member.store;
-    let another = candidates.iter().any(|candidate| named(&candidate.head, candidate.store))
-        || members.iter().any(|other| !other.votes && named(&other.head, other.store));
-    let wiped = member.silent_ms >= UNREACHABLE_AFTER_MS && another;
-    match member {
-        _ if wiped => Some(0),
-        member if member.silent_ms >= dead_after_ms => Some(1),
-        member if rules.declared_dead.contains(&member.store) => Some(2),
-        member if rules.barred_heads.contains(&member.head) => Some(3),
-        _ => None,
-    }
+/// How many of `voters` voters are a majority.
+pub fn majority(voters: usize) -> usize {
+    voters / 2 + 1
 }
 
-/// Whether there may be something to do, so that it is worth asking for candidates.
+/// Whether there may be something to do, so that it is worth collecting candidates.
 pub fn may_need_repair(rules: &Rules, members: &[GroupMember]) -> bool {
     let voters = members.iter().filter(|member| member.votes).count();
-    let wanted = if rules.voters == 0 { voters } else { usize::from(rules.voters) };
-    let off = |member: &GroupMember| {
-        !member.votes
-            || member.silent_ms >= UNREACHABLE_AFTER_MS
-            || departure_rank(member, rules, members, &[]).is_some()
+    let needs_attention = |member: &GroupMember| {
+        !member.votes || !is_reachable(member) || departure_reason(member, rules, members, &[]).is_some()
     };
-    voters != wanted || members.iter().any(off)
+    voters != target_size(rules, voters) || members.iter().any(needs_attention)
 }
 
-/// The one thing to do next; `None` where all is well, or nothing can be done.
+/// The next membership change; `None` if there is nothing to do, or nothing can be done now.
 pub fn next_step(
     rules: &Rules,
     members: &[GroupMember],
-    candidates: &[Candidate],
+    candidates: &[VoterCandidate],
     leader: StoreId,
-) -> Option<Step> {
-    let voters: Vec<&GroupMember> = members.iter().filter(|member| member.votes).collect();
-    let is_reachable = |member: &&&GroupMember| member.silent_ms < UNREACHABLE_AFTER_MS;
-    let reachable = voters.iter().filter(is_reachable).count();
-    // Guards against a change that nobody can settle: it would stand in the way of the next.
-    if reachable < majority(voters.len()) {
+) -> Option<RepairStep> {
+    let group = VoterGroup::new(rules, members, candidates, leader);
+    // Guards against a change that cannot be committed: it would block the next one.
+    if group.reachable < majority(group.voters.len()) {
         return None;
     }
-    let wanted = if rules.voters == 0 { voters.len() } else { usize::from(rules.voters) };
-    let mut leaving: Vec<(u8, &GroupMember)> = voters
-        .iter()
-        .filter_map(|voter| Some((departure_rank(voter, rules, members, candidates)?, *voter)))
-        .collect();
-    // The leader last: its going costs an election.
-    leaving.sort_by_key(|(rank, voter)| (*rank, voter.store == leader, voter.store));
-    let fits = |candidate: &&Candidate| {
-        !rules.barred_heads.contains(&candidate.head)
-            && !rules.declared_dead.contains(&candidate.store)
-            && members.iter().all(|member| member.store != candidate.store)
-    };
-    if let Some(newcomer) = members.iter().find(|member| !member.votes) {
-        // Guards against a newcomer that is dead itself: it would block the next.
-        let lost = newcomer.silent_ms >= UNREACHABLE_AFTER_MS.max(DEFAULT_DEAD_AFTER_MS / 10);
-        if lost
-            || rules.barred_heads.contains(&newcomer.head)
-            || rules.declared_dead.contains(&newcomer.store)
-        {
-            return Some(Step::Remove(newcomer.store));
+    if let Some(learner) = members.iter().find(|member| !member.votes) {
+        return group.step_with_learner(learner);
+    }
+    if group.voters.len() > group.target {
+        return group.remove_surplus_voter();
+    }
+    if group.leaving.is_empty() && group.voters.len() >= group.target {
+        return None;
+    }
+    group.best_candidate().map(|candidate| RepairStep::AddLearner(candidate.clone()))
+}
+
+fn is_reachable(member: &GroupMember) -> bool {
+    member.silent_ms < UNREACHABLE_AFTER_MS
+}
+
+/// How many heads are to vote: as the rules say, or as many as there are.
+fn target_size(rules: &Rules, voters: usize) -> usize {
+    if rules.voters == 0 { voters } else { usize::from(rules.voters) }
+}
+
+/// Why a voter has to leave; `None` for one that stays.
+fn departure_reason(
+    member: &GroupMember,
+    rules: &Rules,
+    members: &[GroupMember],
+    candidates: &[VoterCandidate],
+) -> Option<DepartureReason> {
+    let dead_after_ms = if rules.dead_after_ms == 0 { DEFAULT_DEAD_AFTER_MS } else { rules.dead_after_ms };
+    let is_same_head = |head: &str, store: StoreId| head == member.head && store != member.store;
+    let has_another_store = candidates.iter().any(|other| is_same_head(&other.head, other.store))
+        || members.iter().any(|other| !other.votes && is_same_head(&other.head, other.store));
+    if !is_reachable(member) && has_another_store {
+        Some(DepartureReason::Wiped)
+    } else if member.silent_ms >= dead_after_ms {
+        Some(DepartureReason::Dead)
+    } else if rules.declared_dead.contains(&member.store) {
+        Some(DepartureReason::DeclaredDead)
+    } else if rules.barred_heads.contains(&member.head) {
+        Some(DepartureReason::Barred)
+    } else {
+        None
+    }
+}
+
+/// The group as the leader sees it for one decision.
+struct VoterGroup<'a> {
+    rules: &'a Rules,
+    members: &'a [GroupMember],
+    candidates: &'a [VoterCandidate],
+    leader: StoreId,
+    voters: Vec<&'a GroupMember>,
+    /// Voters that can be reached.
+    reachable: usize,
+    /// How many heads are to vote.
+    target: usize,
+    /// Voters that have to leave, the most urgent first and the leader last.
+    leaving: Vec<&'a GroupMember>,
+}
+
+impl<'a> VoterGroup<'a> {
+    fn new(
+        rules: &'a Rules,
+        members: &'a [GroupMember],
+        candidates: &'a [VoterCandidate],
+        leader: StoreId,
+    ) -> VoterGroup<'a> {
+        let voters: Vec<&GroupMember> = members.iter().filter(|member| member.votes).collect();
+        let reachable = voters.iter().filter(|voter| is_reachable(voter)).count();
+        let reasons = voters.iter().filter_map(|voter| {
+            let reason = departure_reason(voter, rules, members, candidates)?;
+            Some((reason, *voter))
+        });
+        let mut leaving: Vec<(DepartureReason, &GroupMember)> = reasons.collect();
+        // The leader last: its departure costs an election.
+        leaving.sort_by_key(|(reason, voter)| (*reason, voter.store == leader, voter.store));
+        let leaving = leaving.into_iter().map(|(_, voter)| voter).collect();
+        let target = target_size(rules, voters.len());
+        VoterGroup { rules, members, candidates, leader, voters, reachable, target, leaving }
+    }
+
+    /// What becomes of a learner: promoted once it is up to date, removed once it is not needed or not usable.
+    fn step_with_learner(&self, learner: &GroupMember) -> Option<RepairStep> {
+        // Guards against a learner that is dead itself: it would block the next.
+        let has_timed_out = learner.silent_ms >= LEARNER_TIMEOUT_MS;
+        if has_timed_out || !self.may_vote(&learner.head, learner.store) {
+            return Some(RepairStep::Remove(learner.store));
         }
-        let ready = newcomer.silent_ms < UNREACHABLE_AFTER_MS
-            && newcomer.lag.is_some_and(|lag| lag <= MAX_LEARNER_LAG);
-        if !ready {
+        let is_caught_up = learner.lag.is_some_and(|lag| lag <= MAX_LEARNER_LAG);
+        if !is_reachable(learner) || !is_caught_up {
             return None;
         }
-        if let Some((_, out)) = leaving.first() {
-            // The newcomer is there, so that no fewer are than before.
-            return Some(Step::Replace(out.store, newcomer.store));
+        if let Some(departing) = self.leaving.first() {
+            // The learner is there, so no fewer voters are reachable than before.
+            return Some(RepairStep::Replace(departing.store, learner.store));
         }
-        return Some(if voters.len() < wanted {
-            Step::Promote(newcomer.store)
+        Some(if self.voters.len() < self.target {
+            RepairStep::Promote(learner.store)
         } else {
-            Step::Remove(newcomer.store)
-        });
+            RepairStep::Remove(learner.store)
+        })
     }
-    if voters.len() > wanted {
-        let mut crowd: Vec<&GroupMember> = voters.clone();
-        let crowded = |member: &GroupMember| voters.iter().filter(|other| other.zone == member.zone).count();
-        crowd
-            .sort_by_key(|member| (member.store == leader, std::cmp::Reverse(crowded(member)), member.store));
-        let out = leaving.first().map(|(_, voter)| *voter).or(crowd.first().copied())?;
-        let left = reachable - usize::from(out.silent_ms < UNREACHABLE_AFTER_MS);
-        return (left >= majority(voters.len() - 1)).then_some(Step::Remove(out.store));
+
+    /// Removes one voter too many: one that has to leave anyway, else one of the zone with the most voters.
+    fn remove_surplus_voter(&self) -> Option<RepairStep> {
+        let voters_in_zone_of =
+            |member: &GroupMember| self.voters.iter().filter(|other| other.zone == member.zone).count();
+        let by_zone =
+            self.voters.iter().copied().min_by_key(|voter| {
+                (voter.store == self.leader, Reverse(voters_in_zone_of(voter)), voter.store)
+            });
+        let departing = self.leaving.first().copied().or(by_zone)?;
+        let still_reachable = self.reachable - usize::from(is_reachable(departing));
+        let keeps_majority = still_reachable >= majority(self.voters.len() - 1);
+        keeps_majority.then_some(RepairStep::Remove(departing.store))
     }
-    if leaving.is_empty() && voters.len() >= wanted {
-        return None;
+
+    /// The candidate of the zone with the fewest voters that stay, and among those the head that is replaced.
+    fn best_candidate(&self) -> Option<&VoterCandidate> {
+        let departing = self.leaving.first();
+        let staying = |voter: &&&GroupMember| departing.is_none_or(|out| out.store != voter.store);
+        let voters_in_zone_of = |candidate: &VoterCandidate| {
+            self.voters.iter().filter(staying).filter(|voter| voter.zone == candidate.zone).count()
+        };
+        let is_another_head =
+            |candidate: &VoterCandidate| departing.is_none_or(|out| out.head != candidate.head);
+        let suitable = self.candidates.iter().filter(|candidate| self.is_suitable(candidate));
+        suitable.min_by_key(|candidate| {
+            (voters_in_zone_of(candidate), is_another_head(candidate), candidate.store)
+        })
+    }
+
+    fn is_suitable(&self, candidate: &VoterCandidate) -> bool {
+        self.may_vote(&candidate.head, candidate.store)
+            && self.members.iter().all(|member| member.store != candidate.store)
+    }
+
+    /// Whether the operators' rules let a head with this store vote.
+    fn may_vote(&self, head: &str, store: StoreId) -> bool {
+        !self.rules.barred_heads.contains(head) && !self.rules.declared_dead.contains(&store)
     }
-    // The zone with the fewest of those that stay; then the head that had the place before.
-    let stay = |member: &&&GroupMember| leaving.first().is_none_or(|(_, out)| out.store != member.store);
-    let in_zone = |candidate: &Candidate| {
-        voters.iter().filter(stay).filter(|voter| voter.zone == candidate.zone).count()
-    };
-    let before = |candidate: &Candidate| leaving.first().is_none_or(|(_, out)| out.head != candidate.head);
-    let best = candidates
-        .iter()
-        .filter(fits)
-        .min_by_key(|candidate| (in_zone(candidate), before(candidate), candidate.store));
-    best.map(|candidate| Step::AddLearner(candidate.clone()))
 }
--- a/crates/replication/src/state.rs
+++ b/crates/replication/src/state.rs
@@ -1,43 +1,48 @@
-//! What the fleet holds, and what a change does to it. Every voter applies the same changes in the same order
-//! and so holds the same state; nothing here depends on a head's own settings, clock or chance.
+//! The replicated state, and what each change does to it.
+//!
+//! Every voter applies the same changes in the same order and so has the same state; nothing here may depend on a head's
+//! own settings, clock or random numbers. The order of the variants and fields of [`Command`], [`Change`] and
+//! [`ChangeOutcome`] is part of the log's format.
 
 use crate::store::StoreId;
 use crate::view::{Fields, Key, Object, Rules, VersionedObject, View};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Answers to changes that are kept for changes that come again; the oldest go first.
+/// Outcomes that are remembered for changes that arrive again, at most; the oldest are dropped first.
 pub const MAX_ANSWERS: usize = 4096;
-/// The most tenants, and the most exports of all tenants together.
+/// The most tenants.
 pub const MAX_TENANTS: usize = 10_000;
-/// See [`MAX_TENANTS`].
+/// The most exports, of all tenants together.
 pub const MAX_EXPORTS: usize = 20_000;
 /// The most backends that are banned at all heads.
 pub const MAX_BANS: usize = 4096;
 /// The most voters.
 pub const MAX_VOTERS: u8 = 7;
-/// Least and longest silence after which a voter is declared dead, in milliseconds.
+/// Shortest and longest silence after which a voter is declared dead, in milliseconds.
 pub const DEAD_AFTER_MS: (u64, u64) = (1000, 7 * 86_400_000);
 /// The longest name, in bytes.
 pub const MAX_NAME: usize = 256;
+/// The most heads that are barred from voting, and the most stores that are declared dead.
+const MAX_RULE_ENTRIES: usize = 256;
 
-/// What is to be done.
+/// What a change does.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
-    /// Put a tenant in place, with just these exports.
+    /// Put a tenant with exactly these exports.
     PutTenant {
         /// Its name.
         tenant: String,
         /// Its exports.
         exports: BTreeMap<String, Fields>,
     },
-    /// Put one export of a tenant in place; the tenant is made where there is none.
+    /// Put one export of a tenant; the tenant is created if there is none.
     PutExport {
         /// The tenant.
         tenant: String,
         /// The export's name.
         export: String,
-        /// What it is set up with.
+        /// Its settings.
         fields: Fields,
     },
     /// Delete a tenant with all its exports.
@@ -59,162 +64,190 @@
         /// Whether it is banned from now on.
         banned: bool,
     },
-    /// How many heads vote.
+    /// Set how many heads vote.
     SetVoters(u8),
-    /// After how long a silent voter is declared dead, in milliseconds.
+    /// Set after how long a silent voter is declared dead, in milliseconds.
     SetDeadAfter(u64),
-    /// Whether a head, by its name, may be a voter.
+    /// Set whether a head, by its name, may be a voter.
     AllowVoter {
         /// Its name.
         head: String,
         /// Whether it may.
         allowed: bool,
     },
-    /// Declares a voter's store dead: another takes its place at once.
+    /// Declare a voter's store dead: it is replaced at once.
     DeclareDead(StoreId),
-    /// Puts a backup in the place of an empty state.
+    /// Restore a backup into an empty state.
     Restore(Vec<VersionedObject>),
 }
 
-/// A change: a command, and what it is held to.
+/// A change: a command with its idempotency key and its precondition.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
-    /// The same change brought again has the same key, and is answered as the first time.
+    /// Idempotency key: the same change sent again has the same key, and gets the first outcome.
     pub key: String,
-    /// Compare-and-set: the version at which its tenant must stand, 0 for none there.
+    /// Compare-and-set: the version that the tenant must have, 0 for no such tenant.
     pub expect: Option<u64>,
-    /// What is to be done.
+    /// The command.
     pub command: Command,
 }
 
-/// What became of a change.
+/// The outcome of a change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ChangeOutcome {
-    /// Done; the state has this version since, and something was put where nothing was.
+    /// It was carried out.
     Done {
-        /// The version.
+        /// The version of the state since then.
         version: u64,
-        /// Whether there was nothing before.
+        /// Whether the object did not exist before.
         fresh: bool,
     },
-    /// There is nothing of that name.
+    /// There is no object of that name; the text names it.
     Missing(String),
-    /// It cannot be: why.
+    /// It conflicts with the state or a limit; the text says why.
     Conflict(String),
-    /// Compare-and-set: the tenant stands at this version, 0 for none there.
+    /// Compare-and-set: the tenant has this version, 0 for no such tenant.
     Stale(u64),
     /// The key was used for another change.
     Reused,
 }
 
-/// What the fleet holds.
+/// The replicated state: what heads read, and the outcomes of recent changes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct State {
-    /// What is read of it.
+pub struct ReplicatedState {
+    /// What heads read of it.
     pub view: View,
+    /// Recent changes with their outcomes, by idempotency key.
     answers: BTreeMap<String, (Change, ChangeOutcome)>,
-    order: VecDeque<String>,
+    /// Keys of `answers`, the oldest first.
+    answer_order: VecDeque<String>,
 }
 
-impl State {
-    /// A state that begins with what was read of another.
-    pub fn of(view: View) -> State {
-        State { view, ..State::default() }
+impl ReplicatedState {
+    /// A state that begins with the view of another, without its remembered outcomes.
+    pub fn of(view: View) -> ReplicatedState {
+        ReplicatedState { view, ..ReplicatedState::default() }
     }
 
-    /// Applies one change, and says what became of it. A change under a known key is not applied again.
+    /// Applies one change. A change with a known key is not applied again.
     pub fn apply(&mut self, change: Change) -> ChangeOutcome {
         if let Some((first, outcome)) = self.answers.get(&change.key) {
-            // Guards against a repeat whose first answer was lost: done twice, or told of its own doing as a
-            // conflict.
+            // Guards against a retry whose first answer did not arrive: it must neither happen twice nor be reported
+            // as a conflict with itself.
             return if *first == change { outcome.clone() } else { ChangeOutcome::Reused };
         }
-        let outcome = self.carry_out(&change).unwrap_or_else(|refused| refused);
-        self.order.push_back(change.key.clone());
+        let outcome = self.execute(&change).unwrap_or_else(|rejected| rejected);
+        self.answer_order.push_back(change.key.clone());
         self.answers.insert(change.key.clone(), (change, outcome.clone()));
-        while self.order.len() > MAX_ANSWERS {
-            if let Some(oldest) = self.order.pop_front() {
+        while self.answer_order.len() > MAX_ANSWERS {
+            if let Some(oldest) = self.answer_order.pop_front() {
                 self.answers.remove(&oldest);
             }
         }
         outcome
     }
 
-    /// The answers that are kept, by the keys of their changes.
+    /// The remembered changes with their outcomes, by idempotency key.
     pub fn answers(&self) -> &BTreeMap<String, (Change, ChangeOutcome)> {
         &self.answers
     }
 
-    /// The keys of the answers that are kept, the oldest first.
+    /// The keys of the remembered outcomes, the oldest first.
     pub fn answer_order(&self) -> &VecDeque<String> {
-        &self.order
+        &self.answer_order
     }
 
-    /// Names of exports over all tenants are one space: clients attach by them.
-    fn taken(&self, export: &str, by_others_than: &str) -> bool {
-        let mut others = self.view.tenants.iter().filter(|(name, _)| *name != by_others_than);
+    /// Whether another tenant has an export of this name. Export names are unique over all tenants: clients attach by
+    /// them.
+    fn has_export_elsewhere(&self, export: &str, tenant: &str) -> bool {
+        let mut others = self.view.tenants.iter().filter(|(name, _)| *name != tenant);
         others.any(|(_, tenant)| tenant.exports.contains_key(export))
     }
 
-    fn carry_out(&mut self, change: &Change) -> Result<ChangeOutcome, ChangeOutcome> {
+    /// Carries out a change. Both sides are outcomes; an error is one that leaves the state as it is.
+    fn execute(&mut self, change: &Change) -> Result<ChangeOutcome, ChangeOutcome> {
         if let Command::Restore(objects) = &change.command {
             return self.restore(objects);
         }
-        let of_tenant = change.command.tenant();
-        if let Some(tenant) = of_tenant {
-            named(tenant)?;
+        let tenant = change.command.tenant();
+        if let Some(tenant) = tenant {
+            check_name(tenant)?;
         }
-        let stands = of_tenant.and_then(|tenant| self.view.tenants.get(tenant)).map_or(0, |t| t.version);
-        if change.expect.is_some_and(|expected| expected != stands) {
-            return Err(ChangeOutcome::Stale(stands));
+        let tenant_version =
+            tenant.and_then(|tenant| self.view.tenants.get(tenant)).map_or(0, |tenant| tenant.version);
+        if change.expect.is_some_and(|expected| expected != tenant_version) {
+            return Err(ChangeOutcome::Stale(tenant_version));
         }
-        let (key, object, fresh) = self.changed(&change.command)?;
+        let ObjectChange { key, object, fresh } = self.object_change(&change.command)?;
         let version = self.view.version + 1;
         self.view.put(VersionedObject { version, key, object });
         Ok(ChangeOutcome::Done { version, fresh })
     }
 
-    /// What a command makes of which object, and whether it was not there before.
-    fn changed(&self, command: &Command) -> Result<(Key, Option<Object>, bool), ChangeOutcome> {
-        let tenant = |name: &str| self.view.tenants.get(name);
-        let exports = |name: &str| tenant(name).map(|tenant| tenant.exports.clone());
-        Ok(match command {
-            Command::PutTenant { tenant: name, exports } => {
-                exports.keys().try_for_each(|export| self.free(name, export))?;
-                let had = tenant(name).map_or(0, |tenant| tenant.exports.len());
-                self.room(name, exports.len().saturating_sub(had))?;
-                (Key::Tenant(name.clone()), Some(Object::Tenant(exports.clone())), tenant(name).is_none())
-            }
-            Command::PutExport { tenant: name, export, fields } => {
-                self.free(name, export)?;
-                let mut all = exports(name).unwrap_or_default();
-                self.room(name, usize::from(!all.contains_key(export)))?;
-                let fresh = all.insert(export.clone(), fields.clone()).is_none();
-                (Key::Tenant(name.clone()), Some(Object::Tenant(all)), fresh)
-            }
-            Command::DeleteTenant { tenant: name } => {
-                tenant(name).ok_or_else(|| ChangeOutcome::Missing(format!("no tenant {name}")))?;
-                (Key::Tenant(name.clone()), None, false)
-            }
-            Command::DeleteExport { tenant: name, export } => {
-                let missing = || ChangeOutcome::Missing(format!("no export {export} of tenant {name}"));
-                let mut all = exports(name).ok_or_else(missing)?;
-                all.remove(export).ok_or_else(missing)?;
-                (Key::Tenant(name.clone()), Some(Object::Tenant(all)), false)
-            }
-            Command::Ban { backend, banned } => {
-                named(backend)?;
-                let is = self.view.bans.contains_key(backend);
-                if !banned && !is {
-                    return Err(ChangeOutcome::Missing(format!("no ban of {backend}")));
-                }
-                if *banned && !is && self.view.bans.len() >= MAX_BANS {
-                    return Err(ChangeOutcome::Conflict("the fleet holds no more bans".into()));
-                }
-                (Key::Backend(backend.clone()), banned.then_some(Object::Ban), *banned && !is)
+    /// What a command does to which object.
+    fn object_change(&self, command: &Command) -> Result<ObjectChange, ChangeOutcome> {
+        match command {
+            Command::PutTenant { tenant, exports } => self.put_tenant(tenant, exports),
+            Command::PutExport { tenant, export, fields } => self.put_export(tenant, export, fields),
+            Command::DeleteTenant { tenant } => self.delete_tenant(tenant),
+            Command::DeleteExport { tenant, export } => self.delete_export(tenant, export),
+            Command::Ban { backend, banned } => self.ban(backend, *banned),
+            _ => {
+                let rules = self.updated_rules(command)?;
+                Ok(ObjectChange { key: Key::Rules, object: Some(Object::Rules(rules)), fresh: false })
             }
-            _ => (Key::Rules, Some(Object::Rules(self.updated_rules(command)?)), false),
-        })
+        }
+    }
+
+    fn put_tenant(
+        &self,
+        name: &str,
+        exports: &BTreeMap<String, Fields>,
+    ) -> Result<ObjectChange, ChangeOutcome> {
+        exports.keys().try_for_each(|export| self.check_export_name(name, export))?;
+        let tenant = self.view.tenants.get(name);
+        let previous = tenant.map_or(0, |tenant| tenant.exports.len());
+        self.check_capacity(name, exports.len().saturating_sub(previous))?;
+        Ok(ObjectChange::of_tenant(name, Some(exports.clone()), tenant.is_none()))
+    }
+
+    fn put_export(&self, tenant: &str, export: &str, fields: &Fields) -> Result<ObjectChange, ChangeOutcome> {
+        self.check_export_name(tenant, export)?;
+        let mut exports = self.exports(tenant).unwrap_or_default();
+        self.check_capacity(tenant, usize::from(!exports.contains_key(export)))?;
+        let fresh = exports.insert(export.to_owned(), fields.clone()).is_none();
+        Ok(ObjectChange::of_tenant(tenant, Some(exports), fresh))
+    }
+
+    fn delete_tenant(&self, name: &str) -> Result<ObjectChange, ChangeOutcome> {
+        if !self.view.tenants.contains_key(name) {
+            return Err(ChangeOutcome::Missing(format!("no tenant {name}")));
+        }
+        Ok(ObjectChange::of_tenant(name, None, false))
+    }
+
+    fn delete_export(&self, tenant: &str, export: &str) -> Result<ObjectChange, ChangeOutcome> {
+        let missing = || ChangeOutcome::Missing(format!("no export {export} of tenant {tenant}"));
+        let mut exports = self.exports(tenant).ok_or_else(missing)?;
+        exports.remove(export).ok_or_else(missing)?;
+        Ok(ObjectChange::of_tenant(tenant, Some(exports), false))
+    }
+
+    fn ban(&self, backend: &str, banned: bool) -> Result<ObjectChange, ChangeOutcome> {
+        check_name(backend)?;
+        let was_banned = self.view.bans.contains_key(backend);
+        if !banned && !was_banned {
+            return Err(ChangeOutcome::Missing(format!("no ban of {backend}")));
+        }
+        if banned && !was_banned && self.view.bans.len() >= MAX_BANS {
+            return Err(ChangeOutcome::Conflict("the fleet holds no more bans".into()));
+        }
+        let key = Key::Backend(backend.to_owned());
+        Ok(ObjectChange { key, object: banned.then_some(Object::Ban), fresh: banned && !was_banned })
+    }
+
+    fn exports(&self, tenant: &str) -> Option<BTreeMap<String, Fields>> {
+        self.view.tenants.get(tenant).map(|tenant| tenant.exports.clone())
     }
 
     fn updated_rules(&self, command: &Command) -> Result<Rules, ChangeOutcome> {
@@ -229,8 +262,8 @@
                 rules.voters = *voters;
             }
             Command::SetDeadAfter(after) => {
-                if !(DEAD_AFTER_MS.0..=DEAD_AFTER_MS.1).contains(after) {
-                    let (least, most) = DEAD_AFTER_MS;
+                let (least, most) = DEAD_AFTER_MS;
+                if !(least..=most).contains(after) {
                     return Err(ChangeOutcome::Conflict(format!(
                         "lost-after is {least} to {most} milliseconds"
                     )));
@@ -239,23 +272,25 @@
             }
             Command::AllowVoter { head, allowed: true } => drop(rules.barred_heads.remove(head)),
             Command::AllowVoter { head, allowed: false } => {
-                named(head)?;
+                check_name(head)?;
                 rules.barred_heads.insert(head.clone());
             }
             Command::DeclareDead(store) => drop(rules.declared_dead.insert(*store)),
             _ => {}
         }
-        // Guards against lists without end: numbers of stores that are long gone mean nothing.
-        while rules.declared_dead.len() > MAX_NAME {
+        // Guards against unbounded lists: stores that were removed long ago no longer matter.
+        while rules.declared_dead.len() > MAX_RULE_ENTRIES {
             rules.declared_dead.pop_first();
         }
-        if rules.barred_heads.len() > MAX_NAME {
-            return Err(ChangeOutcome::Conflict(format!("at most {MAX_NAME} heads are kept from keeping")));
+        if rules.barred_heads.len() > MAX_RULE_ENTRIES {
+            return Err(ChangeOutcome::Conflict(format!(
+                "at most {MAX_RULE_ENTRIES} heads are kept from keeping"
+            )));
         }
         Ok(rules)
     }
 
-    /// A backup goes into an empty state only: it must not undo what was promised since.
+    /// Restores a backup, into an empty state only: it must not undo what was committed since.
     fn restore(&mut self, objects: &[VersionedObject]) -> Result<ChangeOutcome, ChangeOutcome> {
         if self.view.version > 0 {
             return Err(ChangeOutcome::Conflict(format!(
@@ -271,30 +306,45 @@
         Ok(ChangeOutcome::Done { version, fresh: true })
     }
 
-    fn free(&self, tenant: &str, export: &str) -> Result<(), ChangeOutcome> {
-        named(export)?;
-        if self.taken(export, tenant) {
+    /// Whether a tenant may have an export of this name.
+    fn check_export_name(&self, tenant: &str, export: &str) -> Result<(), ChangeOutcome> {
+        check_name(export)?;
+        if self.has_export_elsewhere(export, tenant) {
             return Err(ChangeOutcome::Conflict(format!("there is an export {export} already")));
         }
         Ok(())
     }
 
-    /// Guards against a state that outgrows the heads' memory.
-    fn room(&self, tenant: &str, more: usize) -> Result<(), ChangeOutcome> {
+    /// Whether a tenant may have `additional` exports more. Guards against a state that outgrows the heads' memory.
+    fn check_capacity(&self, tenant: &str, additional: usize) -> Result<(), ChangeOutcome> {
         let tenants = &self.view.tenants;
         let exports: usize = tenants.values().map(|tenant| tenant.exports.len()).sum();
-        let full = exports + more > MAX_EXPORTS;
-        let full = full || (!tenants.contains_key(tenant) && tenants.len() >= MAX_TENANTS);
-        if full {
-            Err(ChangeOutcome::Conflict("the fleet holds no more tenants or exports".into()))
-        } else {
-            Ok(())
+        let has_too_many_exports = exports + additional > MAX_EXPORTS;
+        let has_too_many_tenants = !tenants.contains_key(tenant) && tenants.len() >= MAX_TENANTS;
+        if has_too_many_exports || has_too_many_tenants {
+            return Err(ChangeOutcome::Conflict("the fleet holds no more tenants or exports".into()));
         }
+        Ok(())
+    }
+}
+
+/// What a command does to one object.
+struct ObjectChange {
+    key: Key,
+    /// The object; `None` if it is removed.
+    object: Option<Object>,
+    /// The object, or the export in it, did not exist before.
+    fresh: bool,
+}
+
+impl ObjectChange {
+    fn of_tenant(name: &str, exports: Option<BTreeMap<String, Fields>>, fresh: bool) -> ObjectChange {
+        ObjectChange { key: Key::Tenant(name.to_owned()), object: exports.map(Object::Tenant), fresh }
     }
 }
 
 impl Command {
-    /// The tenant that it changes.
+    /// The tenant that it changes, if it changes one.
     fn tenant(&self) -> Option<&str> {
         match self {
             Command::PutTenant { tenant, .. } | Command::PutExport { tenant, .. } => Some(tenant),
@@ -304,9 +354,10 @@
     }
 }
 
-fn named(name: &str) -> Result<(), ChangeOutcome> {
-    let fits = !name.is_empty() && name.len() <= MAX_NAME && !name.chars().any(char::is_control);
-    if fits {
+/// Whether a name of a tenant, an export, a backend or a head is acceptable.
+fn check_name(name: &str) -> Result<(), ChangeOutcome> {
+    let is_valid = !name.is_empty() && name.len() <= MAX_NAME && !name.chars().any(char::is_control);
+    if is_valid {
         Ok(())
     } else {
         Err(ChangeOutcome::Conflict(format!("a name is 1 to {MAX_NAME} bytes of text")))
--- a/crates/replication/src/subscribe.rs
+++ b/crates/replication/src/subscribe.rs
@@ -1,28 +1,30 @@
 //! Messages of a subscription: what a follower sends its upstream with each poll, and what it gets back.
 //!
 //! Whatever seldom changes (the route over which updates come, the relays' directory, the summary of a subtree) is sent
-//! only when its digest or content differs from what the other side holds, so that a poll in which nothing has changed
-//! takes some tens of bytes in each direction, however large the fleet is.
+//! only when its digest or content differs from what the other side has cached, so that a poll without changes takes
+//! some tens of bytes in each direction, however large the fleet is.
+//!
+//! The order of the fields and variants of all messages is part of the wire format ([`record`](crate::record)).
 
-use crate::election::Millis;
 use crate::peer::{Downstream, Peer, Voters};
 use crate::relay::{Directory, FollowerRole};
+use crate::time::Millis;
 use crate::view::Chunk;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
 /// How long a poll of an ordinary head waits at its upstream, in milliseconds. With [`RELAY_WAIT_MS`] and the time for
-/// an answer in front of it, what a head holds behind a relay is known to be the newest within
+/// an answer in front of it, the state of a head behind a relay is known to be the newest within
 /// [`MAX_UPDATE_AGE_MS`](crate::follow::MAX_UPDATE_AGE_MS) (1 s at the relay, 3 s here, and 1 s to spare).
 pub const HEAD_WAIT_MS: Millis = 3000;
-/// How long a poll waits of a relay, of any other head that serves followers, and of one whose upstream is stale: each
-/// head on the way adds its own wait to the age of an update.
+/// How long the poll of a relay waits, of any other head that serves followers, and of one whose upstream is stale, in
+/// milliseconds: each head on the route adds its own wait to the age of an update.
 pub const RELAY_WAIT_MS: Millis = 1000;
-/// The longest wait that an upstream grants.
+/// The longest wait that an upstream grants, in milliseconds.
 pub const MAX_POLL_WAIT_MS: Millis = HEAD_WAIT_MS;
-/// Followers named in a [`Summary`].
+/// Followers named in a [`Summary`], at most.
 pub const MAX_SAMPLE: usize = 16;
-/// Peers named in a [`Redirect`].
+/// Peers named in a [`Redirect`], at most.
 pub const MAX_REDIRECT_PEERS: usize = 64;
 /// A summary whose followers have changed is sent again no sooner than this, in milliseconds.
 const MIN_SUMMARY_INTERVAL_MS: Millis = 1000;
@@ -30,13 +32,14 @@
 const VERSION_SUMMARY_INTERVAL_MS: Millis = 5000;
 /// An unchanged summary is sent again after this, in milliseconds.
 const MAX_SUMMARY_INTERVAL_MS: Millis = 30_000;
-/// Old peers that a follower remembers, and for how long in milliseconds.
+/// Peers of earlier versions that are remembered, at most.
 const MAX_LEGACY_PEERS: usize = 64;
+/// How long a peer is remembered as one of an earlier version, in milliseconds.
 const LEGACY_MEMORY_MS: Millis = 600_000;
 
-/// Digests of what a follower holds; 0 where it holds nothing.
+/// Digests of what a follower has cached; 0 for what it does not have.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HeldDigests {
+pub struct CachedDigests {
     /// Of the [`Route`].
     pub route: u32,
     /// Of the [`Directory`].
@@ -48,14 +51,14 @@
 pub struct Summary {
     /// How many there are.
     pub heads: u32,
-    /// The lowest version that one of them holds.
+    /// The lowest version that one of them has.
     pub lowest_version: u64,
     /// Some of them, [`MAX_SAMPLE`] at the most.
     pub sample: Vec<Downstream>,
 }
 
 impl Summary {
-    /// The summary of a whole list, as heads of earlier versions send it.
+    /// The summary of a complete list, as heads of earlier versions send it.
     pub fn of_list(list: Vec<Downstream>) -> Summary {
         let lowest_version = list.iter().map(|follower| follower.version).min().unwrap_or(0);
         let heads = u32::try_from(list.len()).unwrap_or(u32::MAX);
@@ -76,33 +79,33 @@
     }
 }
 
-/// One poll of a follower. Who asks is known from the connection's greeting.
+/// One poll of a follower. Which head polls is known from the connection's greeting.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Subscription {
-    /// What the follower is set aside for.
+    /// The follower's role.
     pub role: FollowerRole,
-    /// Its region, where there is one.
+    /// Its region, if it has one.
     pub region: Option<String>,
-    /// The version that it holds.
+    /// The version that it has.
     pub version: u64,
-    /// It holds all up to this version, or has it in a transfer that goes on.
+    /// It has all changes up to this version, some perhaps in a transfer in progress.
     pub since: u64,
-    /// The version at which that transfer began; 0 for none.
+    /// The version at which that transfer began; 0 if there is none.
     pub first_version: u64,
     /// How long it waits for a change, in milliseconds.
     pub wait: Millis,
-    /// What it holds.
-    pub held: HeldDigests,
-    /// It reaches no relay, or is about to move to one: it is to be served here though relays are known.
+    /// What it has cached.
+    pub cached: CachedDigests,
+    /// It reaches no relay, or is about to move to one: it is to be served here although relays are known.
     pub bypass_relays: bool,
-    /// Its subtree, when it changed.
+    /// The summary of its subtree, if that is to be sent now.
     pub summary: Option<Summary>,
 }
 
-/// Over which heads updates come, and who decides in the fleet.
+/// The heads over which updates come, and the voters.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Route {
-    /// The fleet's origin; `None` where an upstream of an earlier version does not say it.
+    /// The fleet's origin; `None` from an upstream of an earlier version.
     pub origin: Option<u64>,
     /// The heads over which the update came, a voter first.
     pub path: Vec<String>,
@@ -115,24 +118,24 @@
 /// What a follower lacks.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Update {
-    /// The version that the upstream holds.
+    /// The version that the upstream has.
     pub version: u64,
-    /// How long ago, in milliseconds, the voter that it came from was sure that nothing was newer.
+    /// Milliseconds since the voter from which it came was sure to have the newest version.
     pub age: Millis,
-    /// The changes, where there are any.
+    /// The changes, if there are any.
     pub chunk: Option<Chunk>,
-    /// The route, where the follower holds another.
+    /// The route, if the follower has cached another.
     pub route: Option<Route>,
-    /// The relays, where the follower holds another directory.
+    /// The relays, if the follower has cached another directory.
     pub directory: Option<Directory>,
 }
 
-/// Other heads to ask instead.
+/// Other heads to poll instead.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Redirect {
-    /// The relays, where the follower holds another directory.
+    /// The relays, if the follower has cached another directory.
     pub directory: Option<Directory>,
-    /// Followers of this head, which may have room.
+    /// Followers of this head, which may have capacity.
     pub peers: Vec<Peer>,
 }
 
@@ -141,9 +144,9 @@
 pub enum SubscribeReply {
     /// What the follower lacks, or that it lacks nothing.
     Update(Update),
-    /// It is to ask other heads.
+    /// It is to poll other heads.
     Redirect(Redirect),
-    /// It is to ask again after so many milliseconds: enough transfers are going on.
+    /// It is to poll again after this time, in milliseconds: enough transfers are in progress.
     RetryAfter(Millis),
 }
 
@@ -154,7 +157,7 @@
 }
 
 impl SummaryReporter {
-    /// The upstream has changed, or it is not known what it has received.
+    /// The upstream has changed, or it is not known what it has received: the next summary is sent in any case.
     pub fn reset(&mut self) {
         self.last = None;
     }
@@ -183,14 +186,14 @@
     }
 }
 
-/// Peers that do not know subscriptions, each with the incarnation in which it did not.
+/// Peers of earlier versions, which do not know subscriptions, each with the incarnation in which that was seen.
 #[derive(Debug, Default)]
 pub struct LegacyPeers {
     by_head: BTreeMap<String, (u64, Millis)>,
 }
 
 impl LegacyPeers {
-    /// A peer ended the connection over a subscription.
+    /// A peer closed the connection when it received a subscription.
     pub fn remember(&mut self, now: Millis, head: &str, incarnation: u64) {
         self.by_head.retain(|_, (_, noted_at)| now < *noted_at + LEGACY_MEMORY_MS);
         if self.by_head.len() < MAX_LEGACY_PEERS || self.by_head.contains_key(head) {
@@ -198,7 +201,7 @@
         }
     }
 
-    /// Whether a peer is asked in the earlier way.
+    /// Whether a peer is to be polled with the earlier request.
     pub fn contains(&self, now: Millis, head: &str, incarnation: u64) -> bool {
         self.by_head
             .get(head)
--- a/crates/replication/src/upstream.rs
+++ b/crates/replication/src/upstream.rs
@@ -1,55 +1,61 @@
-//! What a head answers those that follow it.
+//! What a head answers its followers: an update, a redirect, or nothing yet.
+//!
+//! These are pure functions over the head's view and what it knows about the cluster; whether a follower is served at
+//! all is decided by [`Followers`](crate::follow::Followers).
 
-use crate::election::Millis;
 use crate::peer::Peer;
 use crate::relay::Directory;
-use crate::subscribe::{HeldDigests, MAX_REDIRECT_PEERS, Redirect, Route, Subscription, Update};
-use crate::transfer_slots::SMALL_CHUNK_BYTES;
+use crate::subscribe::{CachedDigests, MAX_REDIRECT_PEERS, Redirect, Route, Subscription, Update};
+use crate::time::Millis;
+use crate::transfer_permits::SMALL_CHUNK_BYTES;
 use crate::view::{Chunk, View};
 
-/// Whether a poll waits for a change: the follower holds just this version. One that is ahead of its upstream goes
-/// elsewhere at once.
+/// Whether a poll waits for a change: the follower has exactly this version. A follower that is ahead of its upstream is
+/// answered at once, so that it looks for another.
 pub fn is_up_to_date(subscription: &Subscription, version: u64) -> bool {
     subscription.first_version == 0 && subscription.since == version && subscription.version == version
 }
 
-/// Whether a chunk needs a slot of [`TransferSlots`](crate::transfer_slots::TransferSlots), as part of a large transfer.
-pub fn needs_slot(chunk: &Chunk) -> bool {
+/// Whether a chunk needs a permit of [`TransferPermits`](crate::transfer_permits::TransferPermits), as part of a large
+/// transfer.
+pub fn needs_permit(chunk: &Chunk) -> bool {
     chunk.upto < chunk.version || chunk.size() > SMALL_CHUNK_BYTES
 }
 
-/// What a head has beside its view.
+/// What a head sends its followers beside its view.
 #[derive(Clone, Debug)]
-pub struct Source {
-    /// Over which heads it hears, itself last.
+pub struct UpdateSource {
+    /// The heads over which its own updates come, itself last.
     pub route: Route,
-    /// How old what it holds may be, in milliseconds.
+    /// How old its view may be, in milliseconds.
     pub age: Millis,
-    /// The relays that it knows; `None` where it does not know whether there are any.
+    /// The relays that it knows; `None` if it does not know whether there are any.
     pub directory: Option<Directory>,
 }
 
-impl Source {
-    /// What a follower lacks of a view, with about so many bytes of changes at the most.
+impl UpdateSource {
+    /// What a follower lacks of a view, with about `max_bytes` bytes of changes at most.
     pub fn update(&self, view: &View, subscription: &Subscription, max_bytes: usize) -> Update {
-        let Subscription { since, first_version, held, .. } = *subscription;
+        let Subscription { since, first_version, cached, .. } = *subscription;
         let has_changes = since < view.version || first_version > 0;
+        let route_differs = cached.route != crate::digest::digest_of(&self.route);
         Update {
             version: view.version,
             age: self.age,
             chunk: has_changes.then(|| view.chunk(since, first_version, max_bytes)),
-            route: (held.route != crate::digest::digest_of(&self.route)).then(|| self.route.clone()),
-            directory: missing_directory(self.directory.as_ref(), held),
+            route: route_differs.then(|| self.route.clone()),
+            directory: missing_directory(self.directory.as_ref(), cached),
         }
     }
 }
 
-fn missing_directory(directory: Option<&Directory>, held: HeldDigests) -> Option<Directory> {
-    directory.filter(|directory| directory.digest() != held.directory).cloned()
+/// The directory, if the follower has another one.
+fn missing_directory(directory: Option<&Directory>, cached: CachedDigests) -> Option<Directory> {
+    directory.filter(|directory| directory.digest() != cached.directory).cloned()
 }
 
-/// Where a follower is sent that is not served here: to the relays, and to these peers.
-pub fn redirect(directory: Option<&Directory>, held: HeldDigests, mut peers: Vec<Peer>) -> Redirect {
+/// Redirects a follower that is not served here: to the relays, and to these peers.
+pub fn redirect(directory: Option<&Directory>, cached: CachedDigests, mut peers: Vec<Peer>) -> Redirect {
     peers.truncate(MAX_REDIRECT_PEERS);
-    Redirect { directory: missing_directory(directory, held), peers }
+    Redirect { directory: missing_directory(directory, cached), peers }
 }
--- a/crates/replication/src/view.rs
+++ b/crates/replication/src/view.rs
@@ -1,36 +1,40 @@
-//! What heads read of the state: tenants, bans and rules, each with the version at which it last changed; and how
-//! it goes from head to head, in chunks that can be resumed.
+//! What heads read of the state: tenants, bans and rules, each with the version at which it last changed; and its
+//! transfer from head to head, in chunks that can be resumed.
 //!
-//! Every change has a version of its own and touches one object, so a head that holds version `s` needs the objects
-//! whose last version is past `s`, in the order of their versions. What was removed stays as a tombstone with its
-//! version; the oldest tombstones go first, and a head that is behind the [floor](View::floor) begins anew.
+//! Every change has a version of its own and touches one object, so a head at version `s` needs the objects whose last
+//! version is past `s`, in the order of their versions. A removed object stays as a tombstone with its version; the
+//! oldest tombstones are dropped first, and a head that is behind the [floor](View::floor) starts over.
+//!
+//! A [`View`] belongs to one head and knows nothing of its settings: whether an export can be served there is not
+//! checked here.
 
 use crate::store::StoreId;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
+use thiserror::Error;
 
-/// Tombstones that are kept for heads that are behind.
+/// Tombstones that are kept for heads that are behind, at most.
 pub const MAX_TOMBSTONES: usize = 4096;
 
-/// What an export is set up with, in the operator's file's own terms: key and value, `tenant` and `name` left out.
-/// Each head checks them against its own settings.
+/// The settings of an export, as key and value in the terms of the operator's file, without `tenant` and `name`. Each
+/// head checks them against its own settings.
 pub type Fields = BTreeMap<String, String>;
 
-/// A tenant: the version at which it was last changed, and its exports by name.
+/// A tenant with its exports.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tenant {
     /// Version of the state at its last change; what compare-and-set compares.
     pub version: u64,
-    /// Its exports.
+    /// Its exports by name.
     pub exports: BTreeMap<String, Fields>,
 }
 
-/// What the operators ask of the fleet itself.
+/// The operators' rules for the voters.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rules {
-    /// How many heads vote; 0 for as many as there are.
+    /// How many heads are to vote; 0 for as many as there are.
     pub voters: u8,
-    /// A voter that is silent for so long, in milliseconds, is declared dead and replaced; 0 for the default.
+    /// Silence after which a voter is declared dead and replaced, in milliseconds; 0 for the default.
     pub dead_after_ms: u64,
     /// Heads that must not vote, by name.
     pub barred_heads: BTreeSet<String>,
@@ -45,7 +49,7 @@
     Tenant(String),
     /// A backend that is banned at all heads.
     Backend(String),
-    /// The rules; there is one such thing.
+    /// The rules, of which there is one set.
     Rules,
 }
 
@@ -67,12 +71,12 @@
     pub version: u64,
     /// Its key.
     pub key: Key,
-    /// The object; `None` where it was removed.
+    /// The object; `None` if it was removed.
     pub object: Option<Object>,
 }
 
 impl VersionedObject {
-    /// About how many bytes it takes.
+    /// Its approximate size, in bytes.
     fn size(&self) -> usize {
         let name = match &self.key {
             Key::Tenant(name) | Key::Backend(name) => name.len(),
@@ -91,21 +95,21 @@
     }
 }
 
-/// Some of what a head that is behind lacks.
+/// A part of what a head that is behind lacks.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Chunk {
     /// The objects, in the order of their versions.
     pub objects: Vec<VersionedObject>,
-    /// With these it lacks nothing up to this version.
+    /// The follower has everything up to this version once it has these.
     pub upto: u64,
-    /// The version of the head that serves it; reached when `upto` is.
+    /// The version of the head that serves it; the transfer is complete when `upto` reaches it.
     pub version: u64,
-    /// Start over: this chunk is the first of all there is.
+    /// Start over: this chunk is the first of a transfer of everything.
     pub restart: bool,
 }
 
 impl Chunk {
-    /// About how many bytes it takes.
+    /// Its approximate size, in bytes.
     pub fn size(&self) -> usize {
         self.objects.iter().map(VersionedObject::size).sum()
     }
@@ -114,11 +118,11 @@
 /// What heads read of the state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct View {
-    /// Counts changes that were done.
+    /// The number of changes that were carried out.
     pub version: u64,
     /// The tenants by name.
     pub tenants: BTreeMap<String, Tenant>,
-    /// Backends that are banned at all heads, each with the version since when.
+    /// Backends that are banned at all heads, each with the version of its ban.
     pub bans: BTreeMap<String, u64>,
     /// The rules.
     pub rules: Rules,
@@ -127,17 +131,17 @@
     /// Of every object and tombstone, the version of its last change.
     versions: BTreeMap<Key, u64>,
     tombstones: usize,
-    /// Tombstones up to this version are forgotten.
+    /// Tombstones up to this version were dropped.
     floor: u64,
 }
 
 impl View {
-    /// Inserts an object; its version is the newest there is.
+    /// Inserts an object, or its tombstone; its version must be the newest there is.
     pub fn put(&mut self, object: VersionedObject) {
         let VersionedObject { version, key, object } = object;
-        if let Some(before) = self.versions.insert(key.clone(), version) {
-            self.by_version.remove(&before);
-            self.tombstones -= usize::from(!self.has(&key));
+        if let Some(previous) = self.versions.insert(key.clone(), version) {
+            self.by_version.remove(&previous);
+            self.tombstones -= usize::from(!self.contains(&key));
         }
         self.by_version.insert(version, key.clone());
         self.tombstones += usize::from(object.is_none());
@@ -155,7 +159,7 @@
         self.prune_tombstones();
     }
 
-    fn has(&self, key: &Key) -> bool {
+    fn contains(&self, key: &Key) -> bool {
         match key {
             Key::Tenant(name) => self.tenants.contains_key(name),
             Key::Backend(name) => self.bans.contains_key(name),
@@ -163,10 +167,10 @@
         }
     }
 
-    /// Guards against tombstones without end, where tenants come and go.
+    /// Guards against unbounded growth where tenants come and go.
     fn prune_tombstones(&mut self) {
         while self.tombstones > MAX_TOMBSTONES {
-            let oldest = self.by_version.iter().find(|(_, key)| !self.has(key));
+            let oldest = self.by_version.iter().find(|(_, key)| !self.contains(key));
             let Some((version, key)) = oldest.map(|(version, key)| (*version, key.clone())) else {
                 return;
             };
@@ -185,17 +189,17 @@
         VersionedObject { version, key: key.clone(), object }
     }
 
-    /// What a head lacks that holds all up to `since` and has begun its transfer at `first_version`: about so many
-    /// bytes of it, one object at the least.
-    pub fn chunk(&self, since: u64, first_version: u64, most: usize) -> Chunk {
-        // A tombstone that was forgotten before the transfer began does not concern it.
+    /// What a head lacks that has everything up to `since` and began its transfer at `first_version` (0 for none): about
+    /// `max_bytes` bytes of it, and at least one object.
+    pub fn chunk(&self, since: u64, first_version: u64, max_bytes: usize) -> Chunk {
+        // Only tombstones dropped since the transfer began are missing from it.
         let restart = self.floor > since.max(first_version);
         let since = if restart { 0 } else { since };
         let (mut objects, mut size) = (Vec::new(), 0);
         for (version, key) in self.by_version.range(since + 1..) {
             let object = self.object(*version, key);
             size += object.size();
-            if size > most && !objects.is_empty() {
+            if size > max_bytes && !objects.is_empty() {
                 let upto = objects.last().map_or(since, |object: &VersionedObject| object.version);
                 return Chunk { objects, upto, version: self.version, restart };
             }
@@ -209,17 +213,17 @@
         self.tombstones
     }
 
-    /// The version up to which tombstones are forgotten; a head that is behind it starts over.
+    /// The version up to which tombstones were dropped; a head that is behind it starts over.
     pub fn floor(&self) -> u64 {
         self.floor
     }
 
     /// All objects and tombstones in the order of their versions.
     pub fn objects(&self) -> impl Iterator<Item = VersionedObject> + '_ {
-        self.by_version.iter().map(|(version, name)| self.object(*version, name))
+        self.by_version.iter().map(|(version, key)| self.object(*version, key))
     }
 
-    /// Whether two heads hold the same, whatever tombstones they remember.
+    /// Whether two views have the same contents, whatever tombstones they keep.
     pub fn same_contents(&self, other: &View) -> bool {
         let objects =
             |view: &View| (view.version, view.tenants.clone(), view.bans.clone(), view.rules.clone());
@@ -227,38 +231,44 @@
     }
 }
 
-/// The upstream is behind the one that asks, or behind another that has answered before.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+/// The upstream is behind its follower, or behind another upstream that has answered before.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+#[error("it has gone back")]
 pub struct UpstreamBehind;
 
-/// Pieces on their way to a whole: nobody sees them before, so that what is read was true at some version.
+/// A transfer in progress: its chunks are gathered here and reach the view together, so that what is read was true at
+/// some version.
 #[derive(Clone, Debug, Default)]
 pub struct Transfer {
     objects: Vec<VersionedObject>,
-    /// All up to here is gathered.
-    at: u64,
+    /// Everything up to this version is gathered.
+    upto: u64,
     /// The version of the head that served the first chunk.
     first_version: u64,
     /// The highest version that any upstream had.
-    seen: u64,
+    newest_version: u64,
+    /// The view is to be replaced, not updated.
     restart: bool,
 }
 
 impl Transfer {
-    /// What to ask for next: `since` and `first_version` of [`View::chunk`].
+    /// What to request next: `since` and `first_version` of [`View::chunk`].
     pub fn next_request(&self, view: &View) -> (u64, u64) {
-        if self.first_version > 0 { (self.at, self.first_version) } else { (view.version, 0) }
+        if self.first_version > 0 { (self.upto, self.first_version) } else { (view.version, 0) }
     }
 
-    /// Takes a chunk received in answer to [`next_request`](Transfer::next_request); whether the view has moved. An
-    /// error says that the upstream is behind and cannot be followed.
+    /// Accepts a chunk received in answer to [`next_request`](Transfer::next_request). Returns whether the view has
+    /// changed.
+    ///
+    /// # Errors
+    /// The upstream is behind and cannot be followed.
     pub fn accept(&mut self, view: &mut View, chunk: Chunk) -> Result<bool, UpstreamBehind> {
         if chunk.version < view.version {
-            // Guards against a reader whose version goes back.
+            // Guards against versions that go back, as readers would see them.
             return Err(UpstreamBehind);
         }
-        if chunk.version < self.seen {
-            // Guards against a mixture: what an older head serves does not know what later ones moved.
+        if chunk.version < self.newest_version {
+            // Guards against a mixture: an older upstream does not know which objects have changed since.
             *self = Transfer::default();
             return Err(UpstreamBehind);
         }
@@ -266,21 +276,21 @@
             *self = Transfer { restart: true, ..Transfer::default() };
         }
         if self.first_version == 0 {
-            (self.first_version, self.at) = (chunk.version.max(1), view.version);
+            (self.first_version, self.upto) = (chunk.version.max(1), view.version);
         }
-        (self.at, self.seen) = (chunk.upto, chunk.version);
+        (self.upto, self.newest_version) = (chunk.upto, chunk.version);
         self.objects.extend(chunk.objects);
-        if self.at < chunk.version {
+        if self.upto < chunk.version {
             return Ok(false);
         }
         let Transfer { objects, restart, first_version, .. } = std::mem::take(self);
         if restart {
             *view = View { floor: first_version, ..View::default() };
         }
-        let moved = restart || view.version != chunk.version;
-        // One that was sent again later stands where it stood last.
+        let has_changed = restart || view.version != chunk.version;
+        // An object that was sent twice ends up with its last version.
         objects.into_iter().for_each(|object| view.put(object));
         view.version = chunk.version;
-        Ok(moved)
+        Ok(has_changed)
     }
 }
--- a/crates/replication/src/watermark.rs
+++ b/crates/replication/src/watermark.rs
@@ -1,15 +1,17 @@
-//! What a head remembers of the stores of others, by which an older copy of a disk is known.
+//! Detection of disks that were rolled back, by what heads remember of each other's stores.
 //!
-//! A store that was put back to an earlier copy has its right number, and may have forgotten a vote or entries that
-//! it has acknowledged. Were it counted, a majority could be made of voters that hold nothing of what was promised.
-//! So each head notes what each store has acknowledged to it, and in which incarnation, and a store that recovers
-//! with less is spoken to no more. A store that has just started asks the others before it votes or acknowledges.
+//! A store that was restored from an older copy of its disk keeps its number, but may have forgotten a vote or entries
+//! that it acknowledged. If it counted, a majority could consist of voters that lack what was committed. So each head
+//! remembers what each store has acknowledged to it, and in which incarnation; a store that recovers with less is
+//! rejected from then on. A store that has just started asks the others before it votes or acknowledges anything.
+//!
+//! [`Watermarks`] belongs to one head, which saves it; nothing here decides what happens to a rolled-back store.
 
 use crate::store::StoreId;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// How far a store is, as it says itself or as it has acknowledged.
+/// How far a store is, by its own statement or by what it has acknowledged.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Watermark {
     /// The term of its vote.
@@ -24,6 +26,7 @@
         self.vote < other.vote || self.last < other.last
     }
 
+    /// The highest of both, field by field.
     fn max(self, other: Watermark) -> Watermark {
         Watermark { vote: self.vote.max(other.vote), last: self.last.max(other.last) }
     }
@@ -34,34 +37,36 @@
 pub struct Incarnation {
     /// Counted up and synced at each start.
     pub count: u64,
-    /// Drawn at each start: a copy of the disk that is started again counts the same incarnation, and draws another.
+    /// Drawn at each start. A copy of the disk that is started as well has the same count, and another nonce.
     pub nonce: u64,
 }
 
-/// What is remembered of all stores.
+/// What a head remembers of all other stores.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Watermarks {
     stores: BTreeMap<StoreId, (Incarnation, Watermark)>,
 }
 
 impl Watermarks {
-    /// A store has acknowledged this much in this incarnation; whether that was not known yet.
-    pub fn observe(&mut self, store: StoreId, incarnation: Incarnation, mark: Watermark) -> bool {
-        let (known, held) = self.stores.entry(store).or_insert((incarnation, Watermark::default()));
-        let latest = if incarnation.count > known.count { incarnation } else { *known };
-        let next = (latest, held.max(mark));
-        let changed = next != (*known, *held);
-        (*known, *held) = next;
-        changed
+    /// A store has acknowledged this much in this incarnation. Returns whether that is new.
+    pub fn observe(&mut self, store: StoreId, incarnation: Incarnation, watermark: Watermark) -> bool {
+        let initial = (incarnation, Watermark::default());
+        let (known_incarnation, known_watermark) = self.stores.entry(store).or_insert(initial);
+        let latest =
+            if incarnation.count > known_incarnation.count { incarnation } else { *known_incarnation };
+        let next = (latest, known_watermark.max(watermark));
+        let has_changed = next != (*known_incarnation, *known_watermark);
+        (*known_incarnation, *known_watermark) = next;
+        has_changed
     }
 
-    /// Whether a store that began this incarnation at this watermark is an older copy of the one that was known.
+    /// Whether a store that began this incarnation at this watermark is an older copy of the store that is remembered.
     pub fn is_rolled_back(&self, store: StoreId, incarnation: Incarnation, initial: Watermark) -> bool {
         match self.stores.get(&store) {
             Some((known, _)) if incarnation.count < known.count => true,
             Some((known, _)) if incarnation.count == known.count => incarnation.nonce != known.nonce,
-            // In a later incarnation it has to recover with all that it acknowledged in the earlier ones.
-            Some((_, held)) => initial.is_behind(*held),
+            // A later incarnation must recover with all that the earlier ones acknowledged.
+            Some((_, acknowledged)) => initial.is_behind(*acknowledged),
             None => false,
         }
     }
--- a/crates/replication/tests/follow.rs
+++ b/crates/replication/tests/follow.rs
@@ -1,8 +1,8 @@
 //! One follower and the followers of one head, step by step.
 
 use sedgerun_replication::follow::{
-    Admission, Asker, Downstream, FOLLOWER_TIMEOUT_MS, Follower, Followers, MAX_FOLLOWERS, MAX_UPDATE_AGE_MS,
-    Next, Peer, Poll, Rejection, Voters,
+    Admission, Downstream, FOLLOWER_TIMEOUT_MS, Follower, FollowerStep, Followers, MAX_FOLLOWERS,
+    MAX_UPDATE_AGE_MS, Peer, PollingFollower, Rejection, UpstreamPoll, Voters,
 };
 use sedgerun_replication::relay::FollowerRole;
 use sedgerun_replication::subscribe::{Redirect, Route, SubscribeReply, Summary, Update};
@@ -30,18 +30,18 @@
 }
 
 /// Polls as soon as the follower does.
-fn polled(follower: &mut Follower, now: &mut u64, view: &View) -> Poll {
+fn polled(follower: &mut Follower, now: &mut u64, view: &View) -> UpstreamPoll {
     loop {
-        match follower.next(*now, view, false) {
-            Next::Wait(until) => *now = until.max(*now + 1),
-            Next::Poll(poll) => return poll,
+        match follower.next_step(*now, view, false) {
+            FollowerStep::Wait(until) => *now = until.max(*now + 1),
+            FollowerStep::Poll(poll) => return poll,
         }
     }
 }
 
-fn asker(downstream: Downstream, subtree: Option<Vec<Downstream>>) -> Asker {
+fn polling(downstream: Downstream, subtree: Option<Vec<Downstream>>) -> PollingFollower {
     let summary = subtree.map(Summary::of_list);
-    Asker { downstream, role: FollowerRole::Head, bypass_relays: false, summary }
+    PollingFollower { downstream, role: FollowerRole::Head, bypass_relays: false, summary }
 }
 
 #[test]
@@ -54,10 +54,13 @@
     assert_eq!(follower.on_reply(1000, &mut view, update(&banned(3), 0, &["k1"], 10)), Ok(true));
     assert_eq!((view.version, follower.age(1050)), (3, Some(60)));
     assert_eq!(follower.path(), ["k1", "f1"]);
-    assert!(matches!(follower.next(1060, &view, false), Next::Poll(_)));
+    assert!(matches!(follower.next_step(1060, &view, false), FollowerStep::Poll(_)));
     let ring = follower.on_reply(1060, &mut view, update(&banned(9), 0, &["k1", "f1", "f2"], 10));
     assert_eq!(ring, Err(Rejection::Ring));
-    assert!(matches!(follower.next(1060, &view, false), Next::Wait(_)), "it tries again at once");
+    assert!(
+        matches!(follower.next_step(1060, &view, false), FollowerStep::Wait(_)),
+        "it tries again at once"
+    );
     now = 1070;
     polled(&mut follower, &mut now, &view);
     assert_eq!(follower.on_reply(now, &mut view, update(&banned(2), 0, &["k2"], 10)), Err(Rejection::Behind));
@@ -78,11 +81,11 @@
     let downstream =
         |i: u64| Downstream { at: peer(&format!("f{i}")), store: i, zone: None, version: 0, incarnation: 1 };
     for i in 0..MAX_FOLLOWERS as u64 {
-        assert_eq!(followers.admit(0, asker(downstream(i), None), false), Admission::Admitted);
+        assert_eq!(followers.admit(0, polling(downstream(i), None), false), Admission::Admitted);
     }
-    let again = asker(downstream(3), Some(vec![downstream(100)]));
+    let again = polling(downstream(3), Some(vec![downstream(100)]));
     assert_eq!(followers.admit(1, again, false), Admission::Admitted, "it asks again");
-    assert_eq!(followers.admit(1, asker(downstream(99), None), false), Admission::Full);
+    assert_eq!(followers.admit(1, polling(downstream(99), None), false), Admission::Full);
     assert_eq!(followers.subtree(1).len(), MAX_FOLLOWERS + 1);
     assert_eq!(followers.summary(1).heads as usize, MAX_FOLLOWERS + 1);
     let mut follower = Follower::new("f99", vec![peer("k1")], 1);
@@ -92,16 +95,16 @@
     let redirect = Redirect { directory: None, peers: followers.peers() };
     let rejected = follower.on_reply(now, &mut view, SubscribeReply::Redirect(redirect));
     assert_eq!(rejected, Err(Rejection::Redirected));
-    let Next::Wait(mut due) = follower.next(now, &view, false) else { panic!("at once") };
+    let FollowerStep::Wait(mut due) = follower.next_step(now, &view, false) else { panic!("at once") };
     let poll = polled(&mut follower, &mut due, &view);
     assert!(poll.peer.head.starts_with('f') && (poll.since, poll.first_version) == (0, 0));
     let late = FOLLOWER_TIMEOUT_MS + 1;
-    let admission = followers.admit(late, asker(downstream(99), None), false);
+    let admission = followers.admit(late, polling(downstream(99), None), false);
     assert_eq!(admission, Admission::Admitted, "the others are gone");
     let twin = Downstream { store: 98, ..downstream(99) };
-    let admission = followers.admit(late + 1, asker(twin.clone(), None), false);
+    let admission = followers.admit(late + 1, polling(twin.clone(), None), false);
     assert_eq!(admission, Admission::DuplicateName);
     assert_eq!(followers.subtree(late + 1).len(), 1);
-    let admission = followers.admit(late + FOLLOWER_TIMEOUT_MS + 1, asker(twin, None), false);
+    let admission = followers.admit(late + FOLLOWER_TIMEOUT_MS + 1, polling(twin, None), false);
     assert_eq!(admission, Admission::Admitted, "the first is gone");
 }
--- a/crates/replication/tests/frozen_formats.rs
+++ b/crates/replication/tests/frozen_formats.rs
@@ -15,9 +15,9 @@
 use sedgerun_replication::peer::{Downstream, Peer, Voters};
 use sedgerun_replication::record::{self, FORMAT_VERSION, HEADER_BYTES, RecordType};
 use sedgerun_replication::relay::{Directory, FollowerRole, Relay, RelayStatus};
-use sedgerun_replication::state::{Change, ChangeOutcome, Command, State};
+use sedgerun_replication::state::{Change, ChangeOutcome, Command, ReplicatedState};
 use sedgerun_replication::subscribe::{
-    HeldDigests, Redirect, Route, SubscribeReply, Subscription, Summary, Update,
+    CachedDigests, Redirect, Route, SubscribeReply, Subscription, Summary, Update,
 };
 use sedgerun_replication::view::{
     Chunk, Fields, Key, Object, Rules, Tenant, Transfer, VersionedObject, View,
@@ -247,7 +247,7 @@
 
 #[test]
 fn the_state_of_a_voter_keeps_its_bytes() {
-    let mut state = State::default();
+    let mut state = ReplicatedState::default();
     let changes = [
         change("k2", None, Command::PutTenant { tenant: "horvat".into(), exports: exports() }),
         change("k1", Some(0), Command::PutTenant { tenant: "other".into(), exports: BTreeMap::new() }),
@@ -263,8 +263,8 @@
     }
     let mut lines = section("state");
     check(&mut lines, "filled", &state);
-    check(&mut lines, "of_a_view", &State::of(view()));
-    check(&mut lines, "empty", &State::default());
+    check(&mut lines, "of_a_view", &ReplicatedState::of(view()));
+    check(&mut lines, "empty", &ReplicatedState::default());
     lines.close();
 }
 
@@ -327,11 +327,11 @@
         since: 70_001,
         first_version: 70_002,
         wait: 3000,
-        held: HeldDigests { route: 0x89ab_cdef, directory: 0x0123_4567 },
+        cached: CachedDigests { route: 0x89ab_cdef, directory: 0x0123_4567 },
         bypass_relays: true,
         summary: Some(summary()),
     };
-    check(&mut lines, "held_digests", &subscription.held);
+    check(&mut lines, "held_digests", &subscription.cached);
     check(&mut lines, "summary", &summary());
     check(&mut lines, "subscription", &subscription);
     check(
@@ -382,7 +382,7 @@
         check_record(&mut lines, name, record_type, &("a body".to_owned(), Some(STORE)));
     }
     check_record(&mut lines, "greeting_answer", RecordType::Greeting, &Ok::<Greeting, Refusal>(greeting()));
-    check_record(&mut lines, "snapshot_state", RecordType::Snapshot, &State::of(view()));
+    check_record(&mut lines, "snapshot_state", RecordType::Snapshot, &ReplicatedState::of(view()));
     check_record(&mut lines, "followed_view", RecordType::View, &view());
     lines.close();
     assert_eq!((FORMAT_VERSION, HEADER_BYTES), (2, 6));
--- a/crates/replication/tests/model.rs
+++ b/crates/replication/tests/model.rs
@@ -1,12 +1,12 @@
 //! The promise of the store as a model that stateright explores: machines that crash, lose their disks or get older
-//! copies of them back, with this crate's own decisions on who is an older copy ([`Memory`]) and who keeps
+//! copies of them back, with this crate's own decisions on who is an older copy ([`Watermarks`]) and who votes
 //! ([`repair`]) in it. The consensus round them is reduced to its rules: a vote goes to a log that is no shorter,
 //! once a term; a value is promised once a majority of the voters holds it in the leader's term.
 //!
 //! It proves, for the bounds named below and no more, that no order of these steps loses a promised value; each
 //! guard taken out ("injected") gives an order that does.
 
-use sedgerun_replication::repair::{self, Candidate, GroupMember, Step};
+use sedgerun_replication::repair::{self, GroupMember, RepairStep, VoterCandidate};
 use sedgerun_replication::view::Rules;
 use sedgerun_replication::watermark::{Incarnation, Watermark, Watermarks};
 use stateright::{Checker, HasDiscoveries, Model, Property};
@@ -135,7 +135,7 @@
             older && !matches!(self.removed_guard, RemovedGuard::OlderCopy | RemovedGuard::OldName);
     }
 
-    /// The step of repair that the leader takes, as [`repair::next`] decides it.
+    /// The step of repair that the leader takes, as [`repair::next_step`] decides it.
     fn repair(&self, state: &State) -> Option<State> {
         let (leader, term) = state.leader.filter(|(leader, _)| state.machines[*leader].acts())?;
         let own = state.machines[leader].disk.clone();
@@ -150,15 +150,15 @@
         let new = |machine: &&Machine| machine.acts() && !state.voters.contains(&machine.disk.store);
         let candidates = state.machines.iter().filter(new).map(|machine| {
             let store = machine.disk.store;
-            Candidate { store, head: head(store), address: String::new(), zone: None }
+            VoterCandidate { store, head: head(store), address: String::new(), zone: None }
         });
-        let candidates: Vec<Candidate> = candidates.collect();
+        let candidates: Vec<VoterCandidate> = candidates.collect();
         let step = repair::next_step(&Rules::default(), &voters, &candidates, own.store);
-        let Some(Step::AddLearner(candidate)) = step else { return None };
+        let Some(RepairStep::AddLearner(candidate)) = step else { return None };
         // Brought up to date and then let in: one step here, as nobody counts a newcomer in between.
         voters.push(member(candidate.store, false));
         let step = repair::next_step(&Rules::default(), &voters, &[], own.store);
-        let Some(Step::Replace(out, into)) = step else { return None };
+        let Some(RepairStep::Replace(out, into)) = step else { return None };
         let mut next = state.clone();
         let i = next.machines.iter().position(|machine| machine.disk.store == into)?;
         if self.removed_guard != RemovedGuard::EmptyNewcomer {
--- a/crates/replication/tests/relay.rs
+++ b/crates/replication/tests/relay.rs
@@ -8,11 +8,11 @@
     Directory, FollowerRole, LEASE_MS, MAX_RELAYS, RegistrationError, Relay, RelayRegistry, RelayStatus,
 };
 use sedgerun_replication::subscribe::{
-    HeldDigests, LegacyPeers, MAX_SAMPLE, Route, SubscribeReply, Subscription, Summary, SummaryReporter,
+    CachedDigests, LegacyPeers, MAX_SAMPLE, Route, SubscribeReply, Subscription, Summary, SummaryReporter,
     Update,
 };
-use sedgerun_replication::transfer_slots::{MAX_TRANSFERS, TransferSlots};
-use sedgerun_replication::upstream::Source;
+use sedgerun_replication::transfer_permits::{MAX_TRANSFERS, TransferPermits};
+use sedgerun_replication::upstream::UpdateSource;
 use sedgerun_replication::view::View;
 use simulator::{Event, Fleet, Layout};
 use std::collections::{BTreeMap, BTreeSet};
@@ -115,7 +115,7 @@
             leader: Some(peer("a-head-with-a-long-name")),
             voters: Voters { log_index: 7, by_store: (0..5).map(|i| (u64::MAX - i, peer("voter"))).collect() },
         };
-        let source = Source { route, age: 4000, directory: Some(directory) };
+        let source = UpdateSource { route, age: 4000, directory: Some(directory) };
         let mut subscription = Subscription {
             role: FollowerRole::Head,
             region: Some("region-1".into()),
@@ -123,7 +123,7 @@
             since: 0,
             first_version: 0,
             wait: 3000,
-            held: HeldDigests::default(),
+            cached: CachedDigests::default(),
             bypass_relays: false,
             summary: Some(sample),
         };
@@ -135,7 +135,7 @@
         };
         prop_assert!(size(postcard::to_stdvec(&SubscribeReply::Update(first.clone()))) < 6000);
         // From then on neither goes with an idle poll or its answer.
-        subscription.held = HeldDigests { route: sedgerun_replication::digest::digest_of(route), directory: sent.digest() };
+        subscription.cached = CachedDigests { route: sedgerun_replication::digest::digest_of(route), directory: sent.digest() };
         subscription.summary = None;
         prop_assert!(size(postcard::to_stdvec(&subscription)) <= 40);
         let idle = source.update(&View::default(), &subscription, 1 << 18);
@@ -146,7 +146,7 @@
     fn large_transfers_are_admitted_a_few_at_a_time_and_all_come_to_their_turn(
         followers in 1usize..200, chunks in 1u64..6, seed in any::<u64>()
     ) {
-        let mut slots = TransferSlots::new(seed);
+        let mut permits = TransferPermits::new(seed);
         let mut due: BTreeMap<u64, (u64, u64)> = (0..followers as u64).map(|store| (store, (0, chunks))).collect();
         let (mut now, mut last) = (0, 0);
         let mut open: BTreeMap<u64, u64> = BTreeMap::new();
@@ -156,7 +156,7 @@
                 if at > now {
                     continue;
                 }
-                match slots.acquire(now, store) {
+                match permits.acquire(now, store) {
                     Err(wait) => {
                         prop_assert!((200..=1000).contains(&wait));
                         due.insert(store, (now + wait, left));
@@ -165,7 +165,7 @@
                         open.insert(store, now);
                         due.insert(store, (now + 20, left - 1));
                         if left == 1 {
-                            slots.release(store);
+                            permits.release(store);
                             open.remove(&store);
                             due.remove(&store);
                         }
--- a/crates/replication/tests/repair.rs
+++ b/crates/replication/tests/repair.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use sedgerun_replication::repair::{
-    Candidate, DEFAULT_DEAD_AFTER_MS, GroupMember, Step, UNREACHABLE_AFTER_MS, majority, next_step,
+    DEFAULT_DEAD_AFTER_MS, GroupMember, RepairStep, UNREACHABLE_AFTER_MS, VoterCandidate, majority, next_step,
 };
 use sedgerun_replication::store::StoreId;
 use sedgerun_replication::view::Rules;
@@ -13,8 +13,8 @@
     GroupMember { store, head: format!("h{store}"), zone, votes: true, silent_ms, lag: Some(0) }
 }
 
-fn candidate(store: StoreId, head: &str, zone: u64) -> Candidate {
-    Candidate { store, head: head.into(), address: String::new(), zone: Some(format!("z{zone}")) }
+fn candidate(store: StoreId, head: &str, zone: u64) -> VoterCandidate {
+    VoterCandidate { store, head: head.into(), address: String::new(), zone: Some(format!("z{zone}")) }
 }
 
 #[test]
@@ -26,22 +26,26 @@
     members[2].silent_ms = DEFAULT_DEAD_AFTER_MS;
     assert_eq!(
         next_step(&rules, &members, &candidates, 1),
-        Some(Step::AddLearner(candidates[0].clone())),
+        Some(RepairStep::AddLearner(candidates[0].clone())),
         "zone 0 has none left"
     );
     members.push(GroupMember { votes: false, lag: Some(500), ..member(10, 0) });
     assert_eq!(next_step(&rules, &members, &candidates, 1), None, "it is not up to date");
     members[3].lag = Some(3);
-    assert_eq!(next_step(&rules, &members, &candidates, 1), Some(Step::Replace(3, 10)));
+    assert_eq!(next_step(&rules, &members, &candidates, 1), Some(RepairStep::Replace(3, 10)));
     members[3].silent_ms = DEFAULT_DEAD_AFTER_MS;
     assert_eq!(
         next_step(&rules, &members, &candidates, 1),
-        Some(Step::Remove(10)),
+        Some(RepairStep::Remove(10)),
         "the newcomer is lost itself"
     );
     members[3].silent_ms = 0;
     members[2].silent_ms = 0;
-    assert_eq!(next_step(&rules, &members, &candidates, 1), Some(Step::Remove(10)), "the lost one came back");
+    assert_eq!(
+        next_step(&rules, &members, &candidates, 1),
+        Some(RepairStep::Remove(10)),
+        "the lost one came back"
+    );
 }
 
 #[test]
@@ -50,7 +54,7 @@
     let candidates = [candidate(11, "h11", 0), candidate(12, "h3", 0)];
     assert_eq!(
         next_step(&Rules::default(), &members, &candidates, 1),
-        Some(Step::AddLearner(candidates[1].clone()))
+        Some(RepairStep::AddLearner(candidates[1].clone()))
     );
     assert_eq!(
         next_step(&Rules::default(), &members, &candidates[..1], 1),
@@ -59,7 +63,7 @@
     );
     let newcomer = GroupMember { head: "h3".into(), votes: false, ..member(12, 0) };
     let members = [&members[..], &[newcomer]].concat();
-    assert_eq!(next_step(&Rules::default(), &members, &candidates[..1], 1), Some(Step::Replace(3, 12)));
+    assert_eq!(next_step(&Rules::default(), &members, &candidates[..1], 1), Some(RepairStep::Replace(3, 12)));
 }
 
 #[test]
@@ -68,16 +72,22 @@
     let candidates = [candidate(10, "h10", 0)];
     let barred_heads = BTreeSet::from(["h1".to_owned(), "h2".to_owned()]);
     let rules = Rules { barred_heads, ..Rules::default() };
-    assert_eq!(next_step(&rules, &members, &candidates, 1), Some(Step::AddLearner(candidates[0].clone())));
+    assert_eq!(
+        next_step(&rules, &members, &candidates, 1),
+        Some(RepairStep::AddLearner(candidates[0].clone()))
+    );
     let mut more = members.to_vec();
     more.push(GroupMember { votes: false, ..member(10, 0) });
-    assert_eq!(next_step(&rules, &more, &candidates, 1), Some(Step::Replace(2, 10)));
+    assert_eq!(next_step(&rules, &more, &candidates, 1), Some(RepairStep::Replace(2, 10)));
     let none = Rules { barred_heads: BTreeSet::from(["h10".to_owned()]), ..rules };
     assert_eq!(next_step(&none, &members, &candidates, 1), None, "nobody may take the place");
     let more = Rules { voters: 5, ..Rules::default() };
-    assert_eq!(next_step(&more, &members, &candidates, 1), Some(Step::AddLearner(candidates[0].clone())));
+    assert_eq!(
+        next_step(&more, &members, &candidates, 1),
+        Some(RepairStep::AddLearner(candidates[0].clone()))
+    );
     let fewer = Rules { voters: 1, ..Rules::default() };
-    assert!(matches!(next_step(&fewer, &members, &candidates, 1), Some(Step::Remove(2 | 3))));
+    assert!(matches!(next_step(&fewer, &members, &candidates, 1), Some(RepairStep::Remove(2 | 3))));
 }
 
 proptest! {
@@ -94,7 +104,7 @@
             let silent_ms = if is_reachable { 0 } else { UNREACHABLE_AFTER_MS };
             members.push(GroupMember { votes: false, lag: Some(lag), ..member(50, silent_ms) });
         }
-        let candidates: Vec<Candidate> = (0..candidate_count).map(|i| candidate(60 + i, &format!("h{}", 2 + i), i)).collect();
+        let candidates: Vec<VoterCandidate> = (0..candidate_count).map(|i| candidate(60 + i, &format!("h{}", 2 + i), i)).collect();
         let rules = Rules {
             voters: if up { wanted } else { 0 },
             barred_heads: BTreeSet::from([format!("h{bad}")]),
@@ -102,15 +112,15 @@
         };
         let mut after: Vec<GroupMember> = members.clone();
         match next_step(&rules, &members, &candidates, 1) {
-            Some(Step::Replace(out, into)) => {
+            Some(RepairStep::Replace(out, into)) => {
                 after.retain(|member| member.store != out);
                 after.iter_mut().filter(|member| member.store == into).for_each(|member| member.votes = true);
             }
-            Some(Step::Promote(into)) => {
+            Some(RepairStep::Promote(into)) => {
                 after.iter_mut().filter(|member| member.store == into).for_each(|member| member.votes = true);
             }
-            Some(Step::Remove(out)) => after.retain(|member| member.store != out),
-            Some(Step::AddLearner(_)) | None => return Ok(()),
+            Some(RepairStep::Remove(out)) => after.retain(|member| member.store != out),
+            Some(RepairStep::AddLearner(_)) | None => return Ok(()),
         }
         let voters: Vec<&GroupMember> = after.iter().filter(|member| member.votes).collect();
         let reachable = voters.iter().filter(|voter| voter.silent_ms < UNREACHABLE_AFTER_MS).count();
--- a/crates/replication/tests/simulator/mod.rs
+++ b/crates/replication/tests/simulator/mod.rs
@@ -1,14 +1,14 @@
 //! A fleet in virtual time: the decisions of all heads, over a network that can be cut by regions.
 
 use sedgerun_replication::follow::{
-    ANSWER_TIMEOUT_MS, Admission, Asker, Downstream, Follower, Followers, MAX_FOLLOWERS, Next, Peer, Poll,
-    Voters,
+    ANSWER_TIMEOUT_MS, Admission, Downstream, Follower, FollowerStep, Followers, MAX_FOLLOWERS, Peer,
+    PollingFollower, UpstreamPoll, Voters,
 };
 use sedgerun_replication::relay::{
     FollowerRole, REGISTRATION_INTERVAL_MS, RELAY_CAPACITY, Relay, RelayRegistry, RelayStatus,
 };
 use sedgerun_replication::subscribe::{Route, SubscribeReply, Subscription};
-use sedgerun_replication::upstream::{Source, is_up_to_date, redirect};
+use sedgerun_replication::upstream::{UpdateSource, is_up_to_date, redirect};
 use sedgerun_replication::view::{Key, Object, VersionedObject, View};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -88,7 +88,7 @@
     cut: Vec<bool>,
     settled: View,
     tasks: BinaryHeap<Reverse<Entry>>,
-    polls: BTreeMap<usize, Poll>,
+    polls: BTreeMap<usize, UpstreamPoll>,
     by_name: BTreeMap<String, usize>,
 }
 
@@ -283,9 +283,9 @@
         let now = self.now;
         let node = &mut self.nodes[number];
         let serves = node.followers.count(now) > 0;
-        match node.follower.next(now, &node.view, serves) {
-            Next::Wait(until) => self.schedule(number, until.max(now + 1), Task::Decide),
-            Next::Poll(poll) => {
+        match node.follower.next_step(now, &node.view, serves) {
+            FollowerStep::Wait(until) => self.schedule(number, until.max(now + 1), Task::Decide),
+            FollowerStep::Poll(poll) => {
                 let polled = self.by_name[&poll.peer.head];
                 let wait = poll.wait;
                 self.polls.insert(number, poll);
@@ -315,7 +315,7 @@
             since: poll.since,
             first_version: poll.first_version,
             wait: poll.wait,
-            held: node.follower.held_digests(),
+            cached: node.follower.cached_digests(),
             bypass_relays: poll.bypass_relays,
             summary: None,
         }
@@ -353,7 +353,8 @@
             incarnation: self.nodes[asker].incarnation,
         };
         let role = subscription.role;
-        let asker = Asker { downstream, role, bypass_relays: subscription.bypass_relays, summary: None };
+        let follower =
+            PollingFollower { downstream, role, bypass_relays: subscription.bypass_relays, summary: None };
         let voters = (0..self.layout.voters).map(|voter| (voter as u64, peer(&self.nodes[voter].name)));
         let voters = Voters { log_index: 1, by_store: voters.collect() };
         let settled = self.settled.clone();
@@ -363,16 +364,16 @@
         let is_voter = node.kind == Kind::Voter;
         let path = if is_voter { vec![node.name.clone()] } else { node.follower.path() };
         let age = if is_voter { Some(0) } else { node.follower.age(now) };
-        let source = Source {
+        let source = UpdateSource {
             route: Route { origin: Some(1), path, leader: None, voters },
             age: age.unwrap_or(0),
             directory,
         };
         let redirected = |peers| {
-            let redirect = redirect(source.directory.as_ref(), subscription.held, peers);
+            let redirect = redirect(source.directory.as_ref(), subscription.cached, peers);
             Some(SubscribeReply::Redirect(redirect))
         };
-        match node.followers.admit(now, asker, relays_known) {
+        match node.followers.admit(now, follower, relays_known) {
             Admission::Admitted => {
                 age?;
                 let view = if is_voter { &settled } else { &node.view };
--- a/crates/replication/tests/state.rs
+++ b/crates/replication/tests/state.rs
@@ -1,6 +1,6 @@
 //! Changes to the state: repeated, conflicting, restored.
 
-use sedgerun_replication::state::{Change, ChangeOutcome, Command, MAX_ANSWERS, State};
+use sedgerun_replication::state::{Change, ChangeOutcome, Command, MAX_ANSWERS, ReplicatedState};
 use sedgerun_replication::view::Fields;
 
 fn put(key: &str, tenant: &str, export: &str, shard: &str, expect: Option<u64>) -> Change {
@@ -19,7 +19,7 @@
 
 #[test]
 fn a_change_that_comes_again_happens_once_and_gets_the_first_answer() {
-    let mut state = State::default();
+    let mut state = ReplicatedState::default();
     let first = state.apply(put("k1", "horvat", "press", "3", Some(0)));
     assert_eq!(first, ChangeOutcome::Done { version: 1, fresh: true });
     assert_eq!(state.apply(delete("k2", "horvat")), ChangeOutcome::Done { version: 2, fresh: false });
@@ -31,7 +31,7 @@
 
 #[test]
 fn kept_answers_are_bounded() {
-    let mut state = State::default();
+    let mut state = ReplicatedState::default();
     for i in 0..MAX_ANSWERS + 10 {
         state.apply(put(&format!("k{i}"), "horvat", "press", "3", None));
     }
@@ -41,7 +41,7 @@
 
 #[test]
 fn compare_and_set_names_the_version_that_stands() {
-    let mut state = State::default();
+    let mut state = ReplicatedState::default();
     state.apply(put("k1", "horvat", "press", "3", None));
     assert_eq!(state.apply(put("k2", "horvat", "proofs", "3", Some(0))), ChangeOutcome::Stale(1));
     assert_eq!(
@@ -53,7 +53,7 @@
 
 #[test]
 fn what_cannot_be_done_changes_nothing() {
-    let mut state = State::default();
+    let mut state = ReplicatedState::default();
     state.apply(put("k1", "horvat", "press", "3", None));
     let before = state.view.clone();
     let taken = state.apply(put("k2", "other", "press", "3", None));
@@ -70,13 +70,13 @@
 
 #[test]
 fn a_backup_goes_into_an_empty_state_and_says_the_same() {
-    let mut state = State::default();
+    let mut state = ReplicatedState::default();
     state.apply(put("k1", "horvat", "press", "3", None));
     state.apply(put("k2", "novak", "maps", "4", None));
     state.apply(delete("k3", "horvat"));
     state.apply(rule("k4", Command::Ban { backend: "s-1".into(), banned: true }));
     state.apply(rule("k5", Command::SetVoters(5)));
-    let mut other = State::default();
+    let mut other = ReplicatedState::default();
     let objects = state.view.objects().collect();
     assert_eq!(
         other.apply(rule("r", Command::Restore(objects))),
--- a/crates/sedgerun/tests/frozen_voter.rs
+++ b/crates/sedgerun/tests/frozen_voter.rs
@@ -14,7 +14,7 @@
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 use sedgerun_cluster::disk::{self, Held, Identity};
 use sedgerun_replication::record::{self, RecordType};
-use sedgerun_replication::state::{ChangeOutcome, State};
+use sedgerun_replication::state::{ChangeOutcome, ReplicatedState};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::fs;
@@ -170,7 +170,7 @@
     assert!(first <= &covered && covered < settled && settled <= *last, "{first} {covered} {settled} {last}");
     // What it held as a follower is older than what it has applied since.
     assert!(held.followed.version > 0 && held.followed.bans.contains_key("s-7"));
-    let mut state: State = record::open(RecordType::Snapshot, state).expect("a state");
+    let mut state: ReplicatedState = record::open(RecordType::Snapshot, state).expect("a state");
     for (_, entry) in held.log.range(covered + 1..) {
         if let openraft::EntryPayload::Normal(changes) = &entry.payload {
             for change in changes {
