--- /dev/null
+++ b/crates/dispatch/tests/backend_overrides.rs
@@ -0,0 +1,73 @@
+//! Backends that operators disable: what the controller is shown of them, and how they come back.
+
+use sedgerun_dispatch::{BackendOverrides, OverrideError};
+use sedgerun_policy::{BackendId, Endpoint, Readiness, UpdateScope};
+use std::collections::BTreeSet;
+
+fn entry(backend: u64, readiness: Readiness) -> Endpoint {
+    Endpoint { backend: BackendId(backend), shard: 1, zone: 0, started_at: 0, readiness }
+}
+
+#[test]
+fn a_disabled_backend_is_shown_as_draining_whatever_the_list_says() {
+    let mut overrides = BackendOverrides::default();
+    overrides.filter(UpdateScope::Full, vec![entry(1, Readiness::Ready), entry(2, Readiness::Ready)]);
+    assert_eq!(overrides.disable(BackendId(1)), Ok(vec![entry(1, Readiness::Draining)]));
+    let shown =
+        overrides.filter(UpdateScope::Full, vec![entry(1, Readiness::Ready), entry(2, Readiness::Ready)]);
+    assert_eq!(shown, vec![entry(1, Readiness::Draining), entry(2, Readiness::Ready)]);
+    let shown = overrides.filter(UpdateScope::Delta, vec![entry(1, Readiness::Ready)]);
+    assert_eq!(shown, vec![entry(1, Readiness::Draining)]);
+    assert_eq!(overrides.out_of_rotation(), 1);
+    assert_eq!(overrides.listed(), 2);
+}
+
+#[test]
+fn disabling_twice_needs_one_enabling_and_the_backend_warms_up_again() {
+    let mut overrides = BackendOverrides::default();
+    overrides.filter(UpdateScope::Full, vec![entry(1, Readiness::Ready)]);
+    assert!(overrides.disable(BackendId(1)).is_ok());
+    assert!(overrides.disable(BackendId(1)).is_ok());
+    let restarted = Endpoint { started_at: 5_000_000, ..entry(1, Readiness::Ready) };
+    assert_eq!(overrides.enable(BackendId(1), 5_000_000), Ok(vec![restarted]));
+    assert_eq!(overrides.enable(BackendId(1), 6_000_000), Err(OverrideError::NotDisabled));
+    assert_eq!(overrides.disable(BackendId(9)), Err(OverrideError::NotListed));
+    assert_eq!(overrides.enable(BackendId(9), 0), Err(OverrideError::NotDisabled));
+}
+
+#[test]
+fn overrides_of_an_earlier_process_apply_before_the_list_is_known() {
+    let mut overrides = BackendOverrides::default();
+    assert!(overrides.set_disabled_by_head(BTreeSet::from([BackendId(1)]), 6).is_empty());
+    let shown = overrides.filter(UpdateScope::Cached, vec![entry(1, Readiness::Ready)]);
+    assert_eq!(shown, vec![entry(1, Readiness::Draining)]);
+    let lifted = overrides.set_disabled_by_head(BTreeSet::new(), 7);
+    assert_eq!(lifted, vec![Endpoint { started_at: 7, ..entry(1, Readiness::Ready) }]);
+    let disabled = overrides.set_disabled_by_head(BTreeSet::from([BackendId(1)]), 8);
+    assert_eq!(disabled[0].readiness, Readiness::Draining);
+}
+
+#[test]
+fn an_override_of_the_cluster_and_one_of_this_head_each_keep_a_backend_out() {
+    let mut overrides = BackendOverrides::default();
+    overrides.filter(UpdateScope::Full, vec![entry(1, Readiness::Ready), entry(2, Readiness::Ready)]);
+    let both = BTreeSet::from([BackendId(1), BackendId(2)]);
+    let shown = overrides.set_disabled_by_cluster(both.clone(), 1);
+    assert_eq!(shown, vec![entry(1, Readiness::Draining), entry(2, Readiness::Draining)]);
+    assert!(overrides.set_disabled_by_cluster(both, 1).is_empty(), "no change is shown twice");
+    assert!(overrides.disable(BackendId(1)).is_ok());
+    assert_eq!(overrides.out_of_rotation(), 2);
+    let restarted = Endpoint { started_at: 7, ..entry(2, Readiness::Ready) };
+    assert_eq!(
+        overrides.set_disabled_by_cluster(BTreeSet::new(), 7),
+        vec![restarted],
+        "this head still disables the first"
+    );
+    assert_eq!(
+        overrides.filter(UpdateScope::Delta, vec![entry(1, Readiness::Ready)]),
+        vec![entry(1, Readiness::Draining)]
+    );
+    overrides.set_disabled_by_cluster(BTreeSet::from([BackendId(1)]), 8);
+    assert_eq!(overrides.enable(BackendId(1), 9), Ok(vec![]), "the cluster still disables it");
+    assert!(overrides.is_disabled(BackendId(1)));
+}
--- a/crates/dispatch/tests/dispatcher.rs
+++ b/crates/dispatch/tests/dispatcher.rs
@@ -1,4 +1,4 @@
-//! The dispatcher without sockets: one final answer for each request, one attempt out at a time.
+//! The dispatcher without sockets: one final answer for each request, at most one attempt in flight.
 
 use sedgerun_dispatch::{AttemptResult, Dispatcher, Effect, FinalAnswer, RequestSpec};
 use sedgerun_policy::*;
@@ -42,13 +42,13 @@
 
 fn dispatcher() -> Dispatcher<&'static str, &'static str> {
     let mut dispatcher = Dispatcher::new(settings(), 1, 8);
-    let node =
+    let endpoint =
         Endpoint { backend: BackendId(1), shard: 3, zone: 0, started_at: 0, readiness: Readiness::Ready };
-    dispatcher.update_endpoints(NOW, UpdateScope::Cached, vec![node]);
+    dispatcher.update_endpoints(NOW, UpdateScope::Cached, vec![endpoint]);
     dispatcher
 }
 
-fn ask(class: usize) -> RequestSpec {
+fn spec(class: usize) -> RequestSpec {
     let deadline = NOW + 1_000 * MS;
     RequestSpec { class, plan: 0, key: 7, deadline, volume: 9, units: 2.0, shard: Some(3), volume_heads: 1.0 }
 }
@@ -79,20 +79,20 @@
 
 #[test]
 fn an_attempt_that_times_out_still_brings_a_final_answer() {
-    for (class, refused) in [(0, true), (1, false)] {
+    for (class, is_rejected) in [(0, true), (1, false)] {
         let mut dispatcher = dispatcher();
-        assert!(dispatcher.submit(NOW, ask(class), "job").is_some());
+        assert!(dispatcher.submit(NOW, spec(class), "job").is_some());
         let answers = run(&mut dispatcher, NOW + 1_000 * MS);
         assert_eq!(answers.len(), 1, "class {class}: {answers:?}");
-        assert_eq!(matches!(answers[0], FinalAnswer::Rejected(_)), refused, "class {class}: {answers:?}");
+        assert_eq!(matches!(answers[0], FinalAnswer::Rejected(_)), is_rejected, "class {class}: {answers:?}");
         assert_eq!(dispatcher.open_requests(), 0);
     }
 }
 
 #[test]
-fn a_request_that_was_turned_away_unseen_goes_out_again() {
+fn a_request_that_a_backend_rejected_unseen_is_sent_again() {
     let mut dispatcher = dispatcher();
-    let id = dispatcher.submit(NOW, ask(1), "job").expect("room");
+    let id = dispatcher.submit(NOW, spec(1), "job").expect("capacity");
     effects(&mut dispatcher);
     dispatcher.attempt_ended(NOW + MS, id, 0, AttemptResult::bare(AttemptEnd::Rejected));
     let mut sends = effects(&mut dispatcher);
@@ -107,7 +107,7 @@
 #[test]
 fn a_write_whose_connection_broke_fails_and_is_never_sent_again() {
     let mut dispatcher = dispatcher();
-    let id = dispatcher.submit(NOW, ask(1), "job").expect("room");
+    let id = dispatcher.submit(NOW, spec(1), "job").expect("capacity");
     effects(&mut dispatcher);
     dispatcher.attempt_ended(NOW + MS, id, 0, AttemptResult::bare(AttemptEnd::Reset));
     assert_eq!(finals(&mut dispatcher), [FinalAnswer::Failed]);
@@ -115,9 +115,9 @@
 }
 
 #[test]
-fn an_answer_is_given_once_and_a_late_end_is_passed_over() {
+fn an_answer_is_given_once_and_a_second_end_is_ignored() {
     let mut dispatcher = dispatcher();
-    let id = dispatcher.submit(NOW, ask(0), "job").expect("room");
+    let id = dispatcher.submit(NOW, spec(0), "job").expect("capacity");
     let served = AttemptResult { response: Some("body"), ..AttemptResult::bare(AttemptEnd::Ok) };
     dispatcher.attempt_ended(NOW + MS, id, 0, served.clone());
     dispatcher.attempt_ended(NOW + 2 * MS, id, 0, served);
@@ -126,9 +126,9 @@
 }
 
 #[test]
-fn a_client_that_has_gone_is_owed_nothing() {
+fn a_disconnected_client_gets_no_answer() {
     let mut dispatcher = dispatcher();
-    let id = dispatcher.submit(NOW, ask(0), "job").expect("room");
+    let id = dispatcher.submit(NOW, spec(0), "job").expect("capacity");
     dispatcher.client_disconnected(NOW + MS, id);
     dispatcher.attempt_ended(NOW + 2 * MS, id, 0, AttemptResult::bare(AttemptEnd::Error));
     assert_eq!(run(&mut dispatcher, NOW + 2_000 * MS), []);
@@ -136,41 +136,42 @@
 }
 
 #[test]
-fn a_full_exchange_takes_no_more() {
+fn a_full_dispatcher_takes_no_further_request() {
     let mut dispatcher = dispatcher();
     for _ in 0..8 {
-        assert!(dispatcher.submit(NOW, ask(0), "job").is_some());
+        assert!(dispatcher.submit(NOW, spec(0), "job").is_some());
     }
-    assert!(dispatcher.submit(NOW, ask(0), "job").is_none());
+    assert!(dispatcher.submit(NOW, spec(0), "job").is_none());
 }
 
 #[test]
-fn a_request_that_no_node_can_take_is_refused_by_half_of_its_time() {
+fn a_request_that_no_backend_can_take_is_rejected_by_half_of_its_time() {
     let mut dispatcher = dispatcher();
-    dispatcher.submit(NOW, RequestSpec { shard: Some(99), ..ask(0) }, "job").expect("room");
-    // It never ran, so that trying again is harmless: a refusal, and the controller's own.
+    dispatcher.submit(NOW, RequestSpec { shard: Some(99), ..spec(0) }, "job").expect("capacity");
+    // It never ran, so that trying again is harmless: a rejection, and the controller's own.
     assert_eq!(run(&mut dispatcher, NOW + 400 * MS), []);
     let answers = run(&mut dispatcher, NOW + 500 * MS);
     assert!(matches!(answers[..], [FinalAnswer::Rejected(wait)] if wait > 0), "{answers:?}");
 }
 
 #[test]
-fn what_waits_behind_a_silent_node_is_answered_in_time_by_the_last_guard_or_before() {
+fn requests_queued_behind_a_silent_backend_are_answered_by_their_deadline() {
     let mut dispatcher = dispatcher();
     for _ in 0..8 {
-        dispatcher.submit(NOW, ask(0), "job").expect("room");
+        dispatcher.submit(NOW, spec(0), "job").expect("capacity");
     }
     assert_eq!(run(&mut dispatcher, NOW + 1_000 * MS).len(), 8);
     assert_eq!(dispatcher.open_requests(), 0);
 }
 
-/// Before the end of the program, what still comes is answered in time, and is no late try for that.
+/// Before the program ends, requests that still come are answered in time, and the controller does not take them
+/// for retries with little time left.
 #[test]
-fn what_comes_before_the_end_is_answered_by_then() {
+fn requests_before_the_final_deadline_are_answered_by_it() {
     let mut dispatcher = dispatcher();
     dispatcher.set_final_deadline(NOW + 150 * MS);
     for class in [0, 1, 0, 0, 0, 0, 0] {
-        assert!(dispatcher.submit(NOW, ask(class), "job").is_some());
+        assert!(dispatcher.submit(NOW, spec(class), "job").is_some());
     }
     let sent =
         |effect: &Effect<_, _>| matches!(effect, Effect::Send { until, .. } if *until < NOW + 150 * MS);
@@ -179,9 +180,9 @@
     assert_eq!(dispatcher.open_requests(), 0);
 }
 
-/// A client that calls its request off gets the answer of the attempt that is out; no other attempt begins.
+/// A client that cancels its request gets the response of the attempt in flight; no other attempt begins.
 #[test]
-fn a_request_that_is_withdrawn_gets_no_further_attempt() {
+fn a_cancelled_request_gets_no_further_attempt() {
     for ending in [
         AttemptEnd::Ok,
         AttemptEnd::Error,
@@ -190,10 +191,10 @@
         AttemptEnd::Timeout,
     ] {
         let mut dispatcher = dispatcher();
-        let id = dispatcher.submit(NOW, ask(0), "read").expect("room");
+        let id = dispatcher.submit(NOW, spec(0), "read").expect("capacity");
         assert!(matches!(effects(&mut dispatcher)[..], [.., Effect::Send { attempt: 0, .. }]));
         dispatcher.cancel(NOW + MS, id);
-        assert!(effects(&mut dispatcher).is_empty(), "its attempt is out");
+        assert!(effects(&mut dispatcher).is_empty(), "its attempt is in flight");
         let reply = (ending == AttemptEnd::Ok).then_some("served");
         dispatcher.attempt_ended(
             NOW + 2 * MS,
--- a/crates/sedgerun/src/dispatch_service.rs
+++ b/crates/sedgerun/src/dispatch_service.rs
@@ -5,8 +5,9 @@
 use crate::clock::Clock;
 use crate::metrics::{Metrics, OperationStatus};
 use futures_util::FutureExt;
-use sedgerun_dispatch::maintenance::{BanResult, Bans};
-use sedgerun_dispatch::{AttemptResult, Dispatcher, Effect, FinalAnswer, RequestSpec};
+use sedgerun_dispatch::{
+    AttemptResult, BackendOverrides, Dispatcher, Effect, FinalAnswer, OverrideError, RequestSpec,
+};
 use sedgerun_policy::{AttemptEnd, BackendId, Endpoint, Micros, Readiness, RequestId, Settings, UpdateScope};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -21,7 +22,7 @@
     backends: Backends,
     waiting: RefCell<HashMap<RequestId, oneshot::Sender<FinalAnswer<BackendResponse>>>>,
     flights: RefCell<HashMap<(RequestId, u8), Flight>>,
-    bans: RefCell<Bans>,
+    bans: RefCell<BackendOverrides>,
     carrying: Cell<bool>,
     armed: Cell<Micros>,
     rearm: Notify,
@@ -193,12 +194,12 @@
 
     /// Whether operators have taken a brick out.
     pub fn is_banned(&self, node: BackendId) -> bool {
-        self.bans.borrow().is_banned(node)
+        self.bans.borrow().is_disabled(node)
     }
 
     /// The bricks that operators have taken out.
     pub fn banned(&self) -> BTreeSet<BackendId> {
-        self.bans.borrow().banned().collect()
+        self.bans.borrow().disabled_by_head().collect()
     }
 
     /// Bricks on the list, and those of them that are out of rotation.
@@ -208,26 +209,21 @@
     }
 
     /// Takes a brick out (`disable`) or puts it back; what the decisions hear follows at once.
-    pub fn ban(self: &Rc<Self>, node: BackendId, disable: bool) -> Result<(), &'static str> {
+    pub fn ban(self: &Rc<Self>, node: BackendId, disable: bool) -> Result<(), OverrideError> {
         let now = self.clock.now();
-        let verdict = if disable {
-            self.bans.borrow_mut().disable(node)
+        let changes = if disable {
+            self.bans.borrow_mut().disable(node)?
         } else {
-            self.bans.borrow_mut().enable(node, now)
+            self.bans.borrow_mut().enable(node, now)?
         };
-        match verdict {
-            BanResult::Yes(told) => {
-                self.tell(now, told);
-                Ok(())
-            }
-            BanResult::No(why) => Err(why),
-        }
+        self.tell(now, changes);
+        Ok(())
     }
 
     /// Takes over the bans that another process of this head holds.
-    pub fn adopt_bans(self: &Rc<Self>, banned: &BTreeSet<BackendId>) {
+    pub fn adopt_bans(self: &Rc<Self>, banned: BTreeSet<BackendId>) {
         let now = self.clock.now();
-        let told = self.bans.borrow_mut().adopt(banned, now);
+        let told = self.bans.borrow_mut().set_disabled_by_head(banned, now);
         self.tell(now, told);
     }
 
@@ -235,7 +231,7 @@
     pub fn set_cluster_bans<'a>(self: &Rc<Self>, banned: impl Iterator<Item = &'a String>) {
         let now = self.clock.now();
         let banned = banned.map(|name| self.backends.names.node(name)).collect();
-        let told = self.bans.borrow_mut().ban_for_all(banned, now);
+        let told = self.bans.borrow_mut().set_disabled_by_cluster(banned, now);
         self.tell(now, told);
     }
 
--- a/crates/sedgerun/src/management.rs
+++ b/crates/sedgerun/src/management.rs
@@ -1,13 +1,13 @@
 //! The operators' address (`mgmt`): one line a connection, one answer that starts with `YES` or `NO`.
 //!
-//! What a call means is read by `sedgerun_dispatch::maintenance`; this is the socket round it, the figures that
+//! What a call means is read by [`OperatorCommand`]; this is the socket round it, the figures that
 //! `show-stat` gives, and the hand-over of bans to the next process of this head through `$TMPDIR`.
 
 use crate::config::Config;
 use crate::dispatch_service::DispatchService;
 use crate::frontend::http::HttpFrontend;
 use sedgerun_cluster::ClusterHandle;
-use sedgerun_dispatch::maintenance::{MOST_LINE, OperatorCommand};
+use sedgerun_dispatch::{MAX_COMMAND_BYTES, OperatorCommand};
 use sedgerun_policy::BackendId;
 use sedgerun_replication::state::ChangeOutcome;
 use std::cell::{Cell, RefCell};
@@ -91,7 +91,7 @@
 
     async fn call(&self, stream: TcpStream) {
         let (read, mut write) = stream.into_split();
-        let mut reader = BufReader::new(read).take(MOST_LINE as u64 + 2);
+        let mut reader = BufReader::new(read).take(MAX_COMMAND_BYTES as u64 + 2);
         let mut line = Vec::new();
         let answer = match tokio::time::timeout(LINE_TIME, reader.read_until(b'\n', &mut line)).await {
             Err(_) => "NO no whole line in time\n".to_owned(),
@@ -212,7 +212,7 @@
                     Ok(names) => {
                         let banned: BTreeSet<BackendId> =
                             names.iter().map(|name| self.dispatch.backends().names.node(name)).collect();
-                        self.dispatch.adopt_bans(&banned);
+                        self.dispatch.adopt_bans(banned);
                     }
                     Err(what) => tracing::error!("mgmt: {}: {what}; the bans held stand", path.display()),
                 }
