--- /dev/null
+++ b/crates/sedgerun/src/dispatch_service/effects.rs
@@ -0,0 +1,67 @@
+//! Carries out what the dispatcher wants: attempts begun and abandoned, answers given to their clients.
+
+use super::DispatchService;
+use super::attempts::{AttemptKey, AttemptTask};
+use crate::backend::{AttemptStarted, BackendRequest, BackendResponse};
+use sedgerun_dispatch::{AttemptResult, Effect, FinalAnswer};
+use sedgerun_policy::{AttemptEnd, BackendId, Micros, RequestId};
+use std::rc::Rc;
+
+impl DispatchService {
+    /// Carries out the dispatcher's effects in their order. What follows while one is carried out queues up
+    /// behind it.
+    pub(super) fn carry_out(self: &Rc<Self>) {
+        if self.is_carrying_out.replace(true) {
+            return;
+        }
+        loop {
+            let Some(effect) = self.dispatcher.borrow_mut().next_effect() else { break };
+            match effect {
+                Effect::Send { id, attempt, backend, until, job } => {
+                    self.begin_attempt(AttemptKey { id, attempt }, backend, until, job)
+                }
+                Effect::Cancel { id, attempt } => self.abandon_attempt(AttemptKey { id, attempt }),
+                Effect::Final { id, answer } => self.give_answer(id, answer),
+                Effect::Watch => self.watch_wanted.notify_one(),
+            }
+        }
+        self.is_carrying_out.set(false);
+        self.alarm.wake_if_earlier(self.dispatcher.borrow().next_timer());
+    }
+
+    fn begin_attempt(
+        self: &Rc<Self>,
+        key: AttemptKey,
+        backend: BackendId,
+        until: Micros,
+        job: Rc<BackendRequest>,
+    ) {
+        let service = Rc::clone(self);
+        let time_left = until.saturating_sub(self.clock.now());
+        let started = AttemptStarted::default();
+        let marker = started.clone();
+        let task = actix_rt::spawn(async move {
+            let result = marker.of(service.backends.attempt(backend, time_left, &job)).await;
+            let result = result.unwrap_or_else(|| AttemptResult::bare(AttemptEnd::CancelledUnsent));
+            service.attempt_ended(key.id, key.attempt, result);
+        });
+        self.attempts.insert(key, AttemptTask { backend, started, handle: task.abort_handle() });
+    }
+
+    fn abandon_attempt(&self, key: AttemptKey) {
+        if let Some(task) = self.attempts.remove(key) {
+            task.abort();
+            // Abandoned in flight: it was written, or as good as.
+            self.count_relayed(key.id);
+        }
+    }
+
+    fn give_answer(&self, id: RequestId, answer: FinalAnswer<BackendResponse>) {
+        let client = self.waiting.borrow_mut().remove(&id);
+        if let Some(client) = client {
+            // The client may have disconnected in the meantime; then nobody waits for the answer.
+            let _ = client.answer.send(answer);
+        }
+        self.settled.notify_waiters();
+    }
+}
--- /dev/null
+++ b/crates/sedgerun/src/dispatch_service/timers.rs
@@ -0,0 +1,51 @@
+//! Wakes the dispatcher when its next timer is due.
+
+use super::DispatchService;
+use sedgerun_policy::Micros;
+use std::cell::Cell;
+use std::rc::Rc;
+use tokio::sync::Notify;
+
+/// The one wake-up call, set for the dispatcher's next timer.
+pub(super) struct Alarm {
+    /// When the task of timers wakes by itself; the end of time: never.
+    set_for: Cell<Micros>,
+    rearm: Notify,
+}
+
+impl Default for Alarm {
+    fn default() -> Alarm {
+        Alarm { set_for: Cell::new(Micros::MAX), rearm: Notify::new() }
+    }
+}
+
+impl Alarm {
+    /// Has the task of timers look again where the next timer is earlier than the alarm.
+    pub fn wake_if_earlier(&self, next_timer: Option<Micros>) {
+        if next_timer.is_some_and(|due| due < self.set_for.get()) {
+            self.rearm.notify_one();
+        }
+    }
+}
+
+impl DispatchService {
+    /// Runs the dispatcher's timers for as long as the program runs.
+    pub async fn run_timers(self: Rc<Self>) {
+        loop {
+            let next_timer = self.dispatcher.borrow().next_timer();
+            self.alarm.set_for.set(next_timer.unwrap_or(Micros::MAX));
+            let Some(due) = next_timer else {
+                self.alarm.rearm.notified().await;
+                continue;
+            };
+            let sleep = tokio::time::sleep_until(self.clock.instant(due).into());
+            tokio::select! {
+                () = sleep => {
+                    let now = self.clock.now();
+                    self.with_dispatcher(|dispatcher| dispatcher.run_due_timers(now));
+                }
+                () = self.alarm.rearm.notified() => {}
+            }
+        }
+    }
+}
--- a/crates/sedgerun/src/management.rs
+++ b/crates/sedgerun/src/management.rs
@@ -157,7 +157,8 @@
         let Some(node) = self.dispatch.backends().names.find(id) else {
             return format!("NO no brick {id:?} is known\n");
         };
-        match self.dispatch.ban(node, disable) {
+        let changed = if disable { self.dispatch.disable(node) } else { self.dispatch.enable(node) };
+        match changed {
             Ok(()) => {
                 tracing::info!("mgmt: {id} {}", if disable { "disabled" } else { "enabled" });
                 self.hand_over();
@@ -185,8 +186,11 @@
     /// Writes the bans for the next process: to a file of its own first, then renamed into place.
     fn hand_over(&self) {
         let Some(path) = &self.handover else { return };
-        let names =
-            self.dispatch.banned().into_iter().filter_map(|node| self.dispatch.backends().names.name(node));
+        let names = self
+            .dispatch
+            .disabled_by_head()
+            .into_iter()
+            .filter_map(|node| self.dispatch.backends().names.name(node));
         let names: Vec<String> = names.collect();
         let text = format!(
             "{HEADER}\n{}end {}\n",
@@ -212,7 +216,7 @@
                     Ok(names) => {
                         let banned: BTreeSet<BackendId> =
                             names.iter().map(|name| self.dispatch.backends().names.node(name)).collect();
-                        self.dispatch.adopt_bans(banned);
+                        self.dispatch.set_disabled_by_head(banned);
                     }
                     Err(what) => tracing::error!("mgmt: {}: {what}; the bans held stand", path.display()),
                 }
--- a/crates/sedgerun/src/replicated_state.rs
+++ b/crates/sedgerun/src/replicated_state.rs
@@ -33,7 +33,7 @@
             (view.version, changed, gone.cloned().collect::<Vec<String>>(), bans)
         });
         if let Some(bans) = bans {
-            dispatch.set_cluster_bans(bans.keys());
+            dispatch.set_disabled_by_cluster(bans.keys());
             banned = bans;
         }
         {
