--- a/crates/sedgerun/src/command.rs
+++ b/crates/sedgerun/src/command.rs
@@ -3,7 +3,7 @@
 //! them.
 
 use crate::config::Sources;
-use crate::head::{Head, Signals};
+use crate::head::{Head, HeadError, Signals};
 use crate::logging;
 use clap::{Args, CommandFactory, Parser, Subcommand, ValueEnum};
 use sedgerun_cluster::{ClusterHandle, client, force_recovery::force_recovery};
@@ -212,7 +212,7 @@
 }
 
 async fn run(sources: Result<Sources, Faults>) -> Result<(), (u8, Faults)> {
-    let plain = |what: String| (FAILED, Faults::one("", what, None));
+    let plain = |error: HeadError| (FAILED, Faults::one("", error.to_string(), None));
     // Before all else: a signal that nothing catches yet ends the program.
     let signals = Signals::catch().map_err(plain)?;
     let sources = sources.map_err(|faults| (FAILED, faults))?;
