--- /dev/null
+++ b/crates/sedgerun/src/frontend/http/accept.rs
@@ -0,0 +1,106 @@
+//! Accepts HTTP clients, within the limits on connections and descriptors, and serves each in a task of its own.
+
+use super::connection::ConnectionState;
+use super::connections::OpenConnection;
+use super::stream::ClientStream;
+use super::{HttpFrontend, REQUEST_TIMEOUT};
+use actix_http::{HttpService, KeepAlive, Request};
+use actix_service::{Service, ServiceFactory, fn_service};
+use std::convert::Infallible;
+use std::future::poll_fn;
+use std::io;
+use std::net::SocketAddr;
+use std::pin::pin;
+use std::rc::Rc;
+use std::task::Poll;
+use std::time::{Duration, Instant};
+use tokio::net::{TcpListener, TcpStream};
+
+/// Time after which an idle client connection is closed. Clients reuse theirs, and a close that crosses a
+/// request costs it a new connection; but some clients keep theirs for good and never use it again.
+const KEEP_ALIVE_TIME: Duration = Duration::from_secs(30);
+/// Pause after a connection that could not be accepted.
+const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(5);
+
+/// Binds a listener on an address and no other.
+///
+/// # Errors
+/// Those of the system, such as an address that is in use.
+pub async fn bind(address: SocketAddr) -> io::Result<TcpListener> {
+    TcpListener::bind(address).await
+}
+
+impl HttpFrontend {
+    /// Accepts connections for as long as the future is polled.
+    ///
+    /// # Errors
+    /// Only where the HTTP service cannot be built; a failed accept is tried again.
+    pub async fn serve(self: Rc<Self>, listener: TcpListener) -> io::Result<()> {
+        let frontend = Rc::clone(&self);
+        let service = fn_service(move |request: Request| {
+            let frontend = Rc::clone(&frontend);
+            async move { Ok::<_, Infallible>(frontend.respond(request).await) }
+        });
+        let factory = HttpService::<ClientStream, _, _>::build()
+            .keep_alive(KeepAlive::Timeout(KEEP_ALIVE_TIME))
+            .client_request_timeout(REQUEST_TIMEOUT)
+            // Guards against waiting for clients that have disconnected: a half-closed connection is a closed one.
+            .h1_allow_half_closed(false)
+            .on_connect_ext(|stream: &ClientStream, data| {
+                data.insert(stream.connection());
+            })
+            .h1(service);
+        let handler = factory.new_service(()).await.map_err(|()| io::Error::other("no HTTP service"))?;
+        let handler = Rc::new(handler);
+        loop {
+            // Neither a lack of descriptors nor a client that has disconnected again ends the program.
+            let Ok((stream, peer)) = listener.accept().await else {
+                tokio::time::sleep(ACCEPT_RETRY_PAUSE).await;
+                continue;
+            };
+            if self.has_capacity_for_client().await {
+                self.serve_connection(Rc::clone(&handler), stream, peer);
+            }
+        }
+    }
+
+    /// Whether one more client can be served, if need be in the place of one that gives way.
+    ///
+    /// Guards against clients that connect without end, and against connections that stay: clients with a request
+    /// need some, and backends and discovery keep their descriptors.
+    async fn has_capacity_for_client(&self) -> bool {
+        let (limits, count) = (&self.config.resource_limits, self.connections.count());
+        let descriptors_short = self.dispatch.backends().descriptors().left() <= limits.boxes;
+        if !descriptors_short && count < limits.clients {
+            return true;
+        }
+        self.connections.give_way().await || (!descriptors_short && count < limits.most_clients)
+    }
+
+    /// Serves a client in a task of its own, which ends with the connection.
+    fn serve_connection<S>(self: &Rc<Self>, handler: Rc<S>, stream: TcpStream, peer: SocketAddr)
+    where
+        S: Service<(ClientStream, Option<SocketAddr>)> + 'static,
+    {
+        let _ = stream.set_nodelay(true);
+        let connection = Rc::new(ConnectionState::new(Instant::now()));
+        let permit = self.dispatch.backends().descriptors().take();
+        let stream = ClientStream::new(stream, Rc::clone(&connection), permit);
+        let number = self.connections.next_number();
+        let open_connection = OpenConnection::new(Rc::clone(self), number);
+        let served = Rc::clone(&connection);
+        let task = actix_rt::spawn(async move {
+            let _open_connection = open_connection;
+            // A connection that ends in an error has sent its client all that there is to send.
+            let mut serving = pin!(handler.call((stream, Some(peer))));
+            // Guards against an attempt that is sent between the end of its client and that of its request:
+            // actix-http notices each in a poll of its own.
+            let until_disconnected = poll_fn(|cx| match serving.as_mut().poll(cx) {
+                Poll::Pending if !served.client_disconnected() => Poll::Pending,
+                _ => Poll::Ready(()),
+            });
+            until_disconnected.await;
+        });
+        self.connections.insert(number, connection, task.abort_handle());
+    }
+}
