--- a/crates/policy/src/controller.rs
+++ b/crates/policy/src/controller.rs
@@ -1,33 +1,22 @@
 //! Every decision of sedgerun; the plain types that go in and come out are in `settings.rs`, `event.rs` and `action.rs`.
 //!
-//! From top to bottom: tuned constants, the estimator and the loop (Triage's self-tuning regulator), the
-//! band split, the limit store, node health and slow start, and the life of a request. One
+//! From top to bottom: tuned constants, the limit store, node health and slow start, and the life of a request. One
 //! [`Controller`] decides for one dispatcher. It knows its settings, its seed and its own events only.
 
+use crate::fair_share::{WeightedDemand, fair_share_level};
+use crate::random::SplitMix64;
+use crate::regulator::{PeriodSample, SelfTuningRegulator};
+use crate::token_bucket::TokenBucket;
 use crate::{
     Action, AttemptEnd, AttemptOutcome, BackendId, DeduplicationScope, Endpoint, Event, Idempotency, Micros,
-    Readiness, Request, RequestId, ServicePlan, Settings, UpdateScope,
+    Readiness, Request, RequestId, SECOND, ServicePlan, Settings, UpdateScope,
 };
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 // ---- Tuned constants ---------------------------------------------------------------------------------
 
-/// One second in clock units.
-const SECOND: Micros = 1_000_000;
 /// Length of a control period (us): the paper's second; rates a second and units a period are then one.
 const PERIOD: Micros = SECOND;
-/// Forgetting factor (per period): a memory of ten periods, a surge's length, so that a fit follows it.
-const FORGETTING: f64 = 0.9;
-/// Answers in a period under which the conditional update law changes nothing (the paper's figure).
-const FEW_ANSWERS: u32 = 6;
-/// Unchanged periods after which a loop runs anyway, so that a quiet one cannot lock.
-const IDLE_PERIODS: u32 = 3;
-/// Relative change of a parameter over which the reset law drops the old model (the paper's figure).
-const RESET_CHANGE: f64 = 0.3;
-/// Periods that a new model takes before the reset law judges it: one for each parameter.
-const MODEL_PERIODS: u32 = 3;
-/// Diagonal of a fresh covariance matrix: large against squared parameters, so the first answers decide.
-const FRESH_COVARIANCE: f64 = 1e4;
 /// Requests a second that the ceiling grants a node at the least: enough for a fit.
 const CEILING_REQUESTS: f64 = 6.0;
 /// Outstanding requests a node is allowed at first: a few.
@@ -78,161 +67,14 @@
 const TOKEN_LOOK: u64 = 2;
 const TOKEN_ASK: u64 = 3;
 
-// ---- Estimator and loop ------------------------------------------------------------------------------
-
-/// Recursive least squares with forgetting for `w(k) = s1·w(k-1) + r1·u(k-1) + r2·u(k-2)`.
-#[derive(Clone, Debug)]
-pub struct Estimator {
-    /// The parameters `[s1, r1, r2]`.
-    pub theta: [f64; 3],
-    covariance: [[f64; 3]; 3],
-}
-
-impl Default for Estimator {
-    fn default() -> Self {
-        let mut covariance = [[0.0; 3]; 3];
-        (0..3).for_each(|i| covariance[i][i] = FRESH_COVARIANCE);
-        Estimator { theta: [0.0; 3], covariance }
-    }
-}
-
-impl Estimator {
-    /// Takes one period: the regressors `[w(k-1), u(k-1), u(k-2)]` and the latency they led to.
-    pub fn update(&mut self, x: [f64; 3], w: f64) {
-        let px: [f64; 3] = std::array::from_fn(|i| (0..3).map(|j| self.covariance[i][j] * x[j]).sum());
-        // No forgetting once quiet periods have let the covariance grow past a fresh one's.
-        let wound = (0..3).map(|i| self.covariance[i][i]).sum::<f64>() >= 3.0 * FRESH_COVARIANCE;
-        let keep = if wound { 1.0 } else { FORGETTING };
-        let spread = keep + (0..3).map(|i| x[i] * px[i]).sum::<f64>();
-        let error = w - (0..3).map(|i| x[i] * self.theta[i]).sum::<f64>();
-        for i in 0..3 {
-            self.theta[i] += px[i] / spread * error;
-            for j in 0..3 {
-                self.covariance[i][j] = (self.covariance[i][j] - px[i] * px[j] / spread) / keep;
-            }
-        }
-        if self.theta.iter().chain(self.covariance.iter().flatten()).any(|value| !value.is_finite()) {
-            *self = Estimator::default();
-        }
-    }
-}
-
-/// What a loop saw in one period.
-#[derive(Clone, Copy, Debug)]
-pub struct Period {
-    /// Answers in the period.
-    pub answers: u32,
-    /// Their mean latency, as a multiple of the target.
-    pub latency: f64,
-    /// Units a second that were sent: the input that the node really had.
-    pub sent: f64,
-    /// Units a second that were answered.
-    pub served: f64,
-    /// The largest rate worth setting.
-    pub ceiling: f64,
-    /// Nothing was sent and nothing is out: the loop is quiet, not stalled.
-    pub quiet: bool,
-}
-
-/// The direct self-tuning integral loop of one node: latency in, units a second out.
-#[derive(Clone, Debug, Default)]
-pub struct Loop {
-    /// The present model.
-    pub model: Estimator,
-    /// The rate set, units a second.
-    pub rate: f64,
-    last: Option<(f64, f64)>,
-    idle: u32,
-    age: u32,
-}
-
-impl Loop {
-    /// Runs one period by the paper's laws, in their order.
-    pub fn step(&mut self, p: Period) {
-        if p.answers < FEW_ANSWERS && self.rate > 0.0 {
-            self.idle += 1; // conditional update law
-            if p.quiet || self.rate > p.ceiling {
-                self.rate = p.ceiling;
-            }
-            if self.idle < IDLE_PERIODS || p.answers == 0 {
-                return;
-            }
-        }
-        self.idle = 0;
-        let Some((latency, sent)) = self.last.replace((p.latency, p.sent)) else {
-            self.rate = p.ceiling;
-            return;
-        };
-        let mut fresh = self.model.clone();
-        fresh.update([latency, p.sent, sent], p.latency);
-        let moved = (0..3).any(|i| {
-            let (old, new) = (self.model.theta[i], fresh.theta[i]);
-            (new - old).abs() > RESET_CHANGE * old.abs()
-        });
-        self.age += 1;
-        if moved && self.age > MODEL_PERIODS {
-            // Reset law: drop the model and excite the node with the ceiling. Departure: a node over its
-            // target (slow, in slow start or crowded) gets what it has just served instead, so that the reset
-            // does not bury it. It acts only while the mean latency is over the target.
-            self.model = Estimator::default();
-            self.age = 0;
-            self.rate = if p.latency > 1.0 { p.served.min(p.ceiling) } else { p.ceiling };
-            return;
-        }
-        if fresh.theta[1] > 0.0 {
-            self.model = fresh;
-        } else if self.model.theta[1] <= 0.0 {
-            self.model = fresh; // nothing older to keep: learn on at the same rate
-            self.rate = self.rate.min(p.ceiling);
-            return;
-        }
-        let [s1, r1, r2] = self.model.theta;
-        let rate = (1.0 - s1 * p.latency - r2 * p.sent) / r1;
-        self.rate = rate.clamp(0.0, p.ceiling.max(0.0)); // anti-windup law
-    }
-}
-
 // ---- Band split --------------------------------------------------------------------------------------
 
-/// A token bucket: fills at a rate up to a cap.
-#[derive(Clone, Copy, Debug, Default)]
-struct Bucket {
-    tokens: f64,
-    at: Micros,
-}
-
-impl Bucket {
-    fn fill(&mut self, now: Micros, rate: f64, cap: f64) -> f64 {
-        let seconds = now.saturating_sub(self.at) as f64 / SECOND as f64;
-        self.tokens = (self.tokens + rate * seconds).min(cap);
-        self.at = now;
-        self.tokens
-    }
-}
-
-/// Shares `rate` among volumes that ask `(units a second, weight)`: the level L such that the sum of
-/// `min(ask, L·weight)` is the rate; infinite where all asks fit, so that unused share passes on.
-pub fn share_level(rate: f64, asks: &[(f64, f64)]) -> f64 {
-    let mut order: Vec<(f64, f64)> = asks.iter().copied().filter(|(ask, w)| *ask > 0.0 && *w > 0.0).collect();
-    order.sort_by(|a, b| (a.0 / a.1).total_cmp(&(b.0 / b.1)));
-    let mut left = rate.max(0.0);
-    let mut weights: f64 = order.iter().map(|(_, weight)| weight).sum();
-    for (ask, weight) in order {
-        if left < ask / weight * weights {
-            return left / weights;
-        }
-        left -= ask;
-        weights -= weight;
-    }
-    f64::INFINITY
-}
-
 /// What one volume asks of one node through this dispatcher.
 #[derive(Clone, Debug, Default)]
 struct Ask {
     asked: f64,
     rate: f64,
-    share: Bucket,
+    share: TokenBucket,
 }
 
 // ---- Limit store -------------------------------------------------------------------------------------
@@ -242,8 +84,8 @@
 struct Volume {
     plan: ServicePlan,
     hosts: f64,
-    reserve: Bucket,
-    limit: Bucket,
+    reserve: TokenBucket,
+    limit: TokenBucket,
     /// Units a second over the limit that all dispatchers' parts together may fill at.
     lift: f64,
     /// When its last request came.
@@ -254,15 +96,15 @@
     fn new(plan: ServicePlan, hosts: f64, now: Micros) -> Volume {
         // Guards against a predecessor that spent its part of the store just before a restart: a start takes
         // a third of its part. Costs the first burst after a start.
-        let limit = Bucket { tokens: plan.limit_burst / hosts / 3.0, at: now };
-        let reserve = Bucket { tokens: plan.reservation / hosts, at: now };
+        let limit = TokenBucket::with_tokens(plan.limit_burst / hosts / 3.0, now);
+        let reserve = TokenBucket::with_tokens(plan.reservation / hosts, now);
         Volume { plan, hosts, reserve, limit, lift: 0.0, used: now }
     }
 
     /// Whether the limit lets `units` leave now. Part of each dispatcher: an even one of rate and burst.
     fn within_limit(&mut self, units: f64, now: Micros) -> bool {
         let rate = (self.plan.limit + self.lift) / self.hosts;
-        self.plan.limit <= 0.0 || self.limit.fill(now, rate, self.plan.limit_burst / self.hosts) >= units
+        self.plan.limit <= 0.0 || self.limit.refill(now, rate, self.plan.limit_burst / self.hosts) >= units
     }
 
     /// News that all dispatchers together use less than the limit lifts this one's even part. The news is
@@ -286,8 +128,8 @@
     bound: f64,
     cut_at: Micros,
     latency: f64,
-    tuner: Loop,
-    gate: Bucket,
+    tuner: SelfTuningRegulator,
+    gate: TokenBucket,
     over: bool,
     level: f64,
     asks: BTreeMap<u64, Ask>,
@@ -297,7 +139,7 @@
     offered: f64,
     sent: f64,
     aim: Micros,
-    slow_start: Bucket,
+    slow_start: TokenBucket,
     heard: Micros,
     told: Micros,
     trial_at: Micros,
@@ -386,7 +228,7 @@
         let thinned = rules.slow_start.overload_factor / 2.0 * begin * warm * self.usual / second;
         let part = if self.usual > 0.0 { thinned + EVEN_PART * even } else { even };
         let cap = if few { saved } else { part / 10.0 };
-        let room = self.slow_start.fill(now, part * second, cap);
+        let room = self.slow_start.refill(now, part * second, cap);
         if room >= cap { f64::INFINITY } else { room }
     }
 }
@@ -431,7 +273,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Controller {
     settings: Settings,
-    random: u64,
+    random: SplitMix64,
     nodes: BTreeMap<BackendId, Node>,
     volumes: BTreeMap<u64, Volume>,
     requests: BTreeMap<RequestId, Held>,
@@ -455,7 +297,13 @@
     /// A controller with its settings and the seed of its random numbers.
     pub fn new(settings: Settings, seed: u64) -> Controller {
         let patience = vec![0; settings.classes.len()];
-        Controller { settings, random: seed, patience, ask_wait: ASK_START, ..Controller::default() }
+        Controller {
+            settings,
+            random: SplitMix64::new(seed),
+            patience,
+            ask_wait: ASK_START,
+            ..Controller::default()
+        }
     }
 
     /// Takes one event at a time that never moves back, and adds what is to be done to `actions`.
@@ -508,19 +356,11 @@
         }
     }
 
-    fn draw(&mut self) -> f64 {
-        self.random = self.random.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        let mut z = self.random;
-        z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-        z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-        (z ^ (z >> 31)) as f64 / u64::MAX as f64
-    }
-
     fn list(&mut self, now: Micros, scope: UpdateScope, nodes: Vec<Endpoint>, actions: &mut Vec<Action>) {
         if scope == UpdateScope::Failed {
             // Guards against a storm: what waits there too long is still handled in turn, so that calls which
             // come back in step, or sooner than all can be answered, keep the line too long for any of them.
-            let (chance, heads) = (self.draw(), f64::from(self.settings.heads));
+            let (chance, heads) = (self.random.next_fraction(), f64::from(self.settings.heads));
             let wait = self.ask_wait as f64 * (0.75 + 0.5 * chance);
             let spread = (ASK_PART as f64 * heads).min(ASK_TOP / 1.5) * (0.5 + chance);
             self.ask_at = now + wait.max(spread).min(ASK_TOP) as Micros;
@@ -534,7 +374,7 @@
             self.nodes.values_mut().for_each(|node| node.readiness = Readiness::Removed);
         }
         let aim = self.settings.classes.iter().map(|class| class.latency_objective).min().unwrap_or(SECOND);
-        let mut chance = self.draw();
+        let mut chance = self.random.next_fraction();
         for entry in &nodes {
             let node = self.nodes.entry(entry.backend).or_insert_with(|| Node::new(aim, now));
             let restarted = entry.started_at > node.came_up;
@@ -543,10 +383,10 @@
                 let old = std::mem::replace(node, Node::new(aim, now));
                 (node.out, node.held, node.asks) = (old.out, old.held, old.asks);
             }
-            if restarted || scope == UpdateScope::Cached || node.slow_start.at == 0 {
+            if restarted || scope == UpdateScope::Cached || node.slow_start.is_unused() {
                 let part = self.settings.rules.slow_start.safe_units / f64::from(self.settings.heads.max(1));
-                let tokens = -chance.fract() * part.max(self.settings.mean_units);
-                (node.slow_start, chance) = (Bucket { tokens, at: now }, chance + 0.618);
+                let debt = chance.fract() * part.max(self.settings.mean_units);
+                (node.slow_start, chance) = (TokenBucket::with_debt(debt, now), chance + 0.618);
             }
             (node.cell, node.readiness) = (entry.shard, entry.readiness);
             node.came_up = node.came_up.max(entry.started_at);
@@ -607,7 +447,7 @@
 
     /// Finds the node that a request waits for: the holder of its data, or the best for a new object.
     fn house(&mut self, id: RequestId, now: Micros) {
-        let chance = self.draw();
+        let chance = self.random.next_fraction();
         let Some(held) = self.requests.get_mut(&id) else { return };
         if let Some(node) = held.at.take().and_then(|name| self.nodes.get_mut(&name)) {
             node.held.remove(&(held.due, id));
@@ -662,7 +502,7 @@
             let full = f64::from(node.out) >= node.bound.floor();
             // While the node is over its aim, the loop's rate rations what leaves.
             let rate = node.tuner.rate;
-            let gated = node.over && node.gate.fill(now, rate, rate * 0.1 + self.settings.max_units) <= 0.0;
+            let gated = node.over && node.gate.refill(now, rate, rate * 0.1 + self.settings.max_units) <= 0.0;
             if full || gated {
                 return None;
             }
@@ -696,12 +536,12 @@
             }
             let reserve = volume.plan.reservation / volume.hosts;
             let cap = self.settings.max_units;
-            if volume.reserve.fill(now, reserve, reserve + cap) > 0.0 || node.level.is_infinite() {
+            if volume.reserve.refill(now, reserve, reserve + cap) > 0.0 || node.level.is_infinite() {
                 return Some(*id);
             }
             let share = node.level * volume.plan.weight;
             let ask = node.asks.entry(held.ask.volume).or_default();
-            if ask.share.fill(now, share, share + cap) > 0.0 {
+            if ask.share.refill(now, share, share + cap) > 0.0 {
                 return Some(*id);
             }
             spare = spare.or(Some(*id));
@@ -723,22 +563,22 @@
         held.at = None;
         if let Some(known) = self.volumes.get_mut(&volume) {
             if !std::mem::replace(&mut held.paid, true) {
-                known.limit.tokens -= units;
+                known.limit.take(units);
             }
-            if known.reserve.tokens > 0.0 {
-                known.reserve.tokens -= units;
+            if known.reserve.has_tokens() {
+                known.reserve.take(units);
             } else {
-                node.asks.entry(volume).or_default().share.tokens -= units;
+                node.asks.entry(volume).or_default().share.take(units);
             }
         }
         if node.out == 0 {
             node.heard = now;
         }
         node.left = now;
-        node.gate.tokens -= units;
+        node.gate.take(units);
         node.sent += units;
         node.out += 1;
-        node.slow_start.tokens -= units;
+        node.slow_start.take(units);
         let class = &self.settings.classes[class];
         node.aim = node.aim.min(class.latency_objective);
         let attempt = Attempt { node: name, cell: node.cell, sent_at: now, key, units, overtaken: 0 };
@@ -777,11 +617,11 @@
         let (rules, mean) = (&self.settings.rules, self.settings.mean_units);
         let crowd = f64::from(self.settings.heads) * mean > 2.0 * rules.slow_start.safe_units
             && rules.slow_start.overload_window > 0;
-        let debt = if crowd { self.draw() * mean } else { 0.0 };
+        let debt = if crowd { self.random.next_fraction() * mean } else { 0.0 };
         if let Some(node) = self.nodes.get_mut(&name) {
             let silent = outcome.end == AttemptEnd::ConnectTimeout && node.missed + 1 >= DOWN_MISSES;
             if crowd && (silent || outcome.end == AttemptEnd::ConnectFailed) {
-                (node.came_up, node.slow_start) = (now, Bucket { tokens: -debt, at: now });
+                (node.came_up, node.slow_start) = (now, TokenBucket::with_debt(debt, now));
             }
             node.out = node.out.saturating_sub(u32::from(attempt.overtaken < STUCK));
             // Guards against a connection that fell silent: nodes take requests in turn, so what several
@@ -837,7 +677,7 @@
                     // It answers again after a silence: perhaps a new process that no list has told of yet.
                     // Guards against tipping it; harms a node that was only cut off, by a slow start.
                     (node.came_up, node.slow_start) =
-                        (attempt.sent_at, Bucket { tokens: -attempt.units, at: now });
+                        (attempt.sent_at, TokenBucket::with_debt(attempt.units, now));
                 }
                 (node.missed, node.heard) = (0, now);
                 // A quick error is no quick answer: it counts as the whole aim, so that a node which fails
@@ -991,26 +831,26 @@
                 limits += if plan.limit > 0.0 { plan.limit } else { 2.0 * ask.rate };
                 let reserve = ask.rate.min(plan.reservation / volume.hosts);
                 reserved += reserve;
-                asks.push((ask.rate - reserve, plan.weight));
+                asks.push(WeightedDemand { rate: ask.rate - reserve, weight: plan.weight });
             }
             node.asks.retain(|_, ask| ask.rate > 1e-3);
             let least = CEILING_REQUESTS * self.settings.mean_units;
             let ceiling = (2.0 * node.offered).max(least).max(limits);
             let target = node.aim as f64;
             let mean = if node.answers > 0 { node.took / f64::from(node.answers) } else { node.latency };
-            node.tuner.step(Period {
-                answers: node.answers,
+            node.tuner.update(PeriodSample {
+                responses: node.answers,
                 latency: mean / target,
                 sent: node.sent,
                 served: node.served,
                 ceiling,
-                quiet: node.sent == 0.0 && node.out == 0,
+                is_idle: node.sent == 0.0 && node.out == 0,
             });
             node.over = node.answers > 0 && mean > target;
             // Departure: while requests wait here for the bound, the node takes what it takes, and that is
             // what there is to split; the loop's rate is above it then.
             let rate = if node.held.is_empty() { node.tuner.rate } else { node.tuner.rate.min(node.served) };
-            node.level = share_level(rate - reserved, &asks);
+            node.level = fair_share_level(rate - reserved, &asks);
             (node.answers, node.took, node.served, node.offered, node.sent) = (0, 0.0, 0.0, 0.0, 0.0);
         }
     }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -7,7 +7,11 @@
 mod action;
 pub mod controller;
 mod event;
+pub mod fair_share;
+mod random;
+pub mod regulator;
 mod settings;
+mod token_bucket;
 
 pub use action::Action;
 pub use controller::Controller;
@@ -20,6 +24,9 @@
 /// A time or a span on the head's clock, in microseconds.
 pub type Micros = u64;
 
+/// One second of the head's clock.
+const SECOND: Micros = 1_000_000;
+
 /// The identity of a backend; its value carries no meaning.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct BackendId(pub u64);
--- a/crates/policy/tests/failures.rs
+++ b/crates/policy/tests/failures.rs
@@ -3,7 +3,6 @@
 mod common;
 
 use common::*;
-use sedgerun_policy::controller::{Controller, Loop, Period};
 use sedgerun_policy::*;
 
 fn started(nodes: Vec<Endpoint>) -> (Controller, Vec<Action>) {
@@ -202,42 +201,6 @@
     assert!(waits[0] < waits[7] && waits.iter().all(|wait| *wait < settings().rules.poll_interval));
 }
 
-/// The reset law on a node over its target grants what it serves; otherwise the ceiling.
-#[test]
-fn a_reset_over_the_target_does_not_bury_the_node() {
-    let period = |latency: f64, sent: f64| Period {
-        answers: 50,
-        latency,
-        sent,
-        served: sent / 2.0,
-        ceiling: 200.0,
-        quiet: false,
-    };
-    for (latency, rate) in [(4.0, 25.0), (0.9, 200.0)] {
-        let mut control = Loop::default();
-        for k in 0..8 {
-            control.step(period(0.2 + 0.01 * f64::from(k % 3), 20.0 + f64::from(k * k % 5)));
-        }
-        control.step(period(latency, 50.0));
-        assert_eq!(control.rate, rate, "latency {latency}");
-    }
-}
-
-/// Under six answers a busy loop keeps its model and rate; a quiet one goes to its ceiling.
-#[test]
-fn few_answers_change_nothing_but_a_quiet_loop() {
-    let mut control = Loop::default();
-    let period = Period { answers: 50, latency: 0.5, sent: 40.0, served: 40.0, ceiling: 80.0, quiet: false };
-    for k in 0..4 {
-        control.step(Period { sent: 40.0 + f64::from(k), ..period });
-    }
-    let (model, rate) = (control.model.clone(), control.rate);
-    control.step(Period { answers: 5, latency: 9.0, ..period });
-    assert_eq!((control.model.theta, control.rate), (model.theta, rate));
-    control.step(Period { answers: 0, sent: 0.0, ceiling: 30.0, quiet: true, ..period });
-    assert_eq!((control.model.theta, control.rate), (model.theta, 30.0));
-}
-
 /// Odd but legal events never panic and never act on what is unknown.
 #[test]
 fn odd_events_are_harmless() {
