--- a/crates/policy/src/controller.rs
+++ b/crates/policy/src/controller.rs
@@ -1,15 +1,16 @@
 //! Every decision of sedgerun; the plain types that go in and come out are in `settings.rs`, `event.rs` and `action.rs`.
 //!
-//! From top to bottom: tuned constants, the limit store, node health and slow start, and the life of a request. One
+//! From top to bottom: tuned constants, node health and slow start, and the life of a request. One
 //! [`Controller`] decides for one dispatcher. It knows its settings, its seed and its own events only.
 
 use crate::fair_share::{WeightedDemand, fair_share_level};
+use crate::quota::{VolumeQuota, VolumeQuotas};
 use crate::random::SplitMix64;
 use crate::regulator::{PeriodSample, SelfTuningRegulator};
 use crate::token_bucket::TokenBucket;
 use crate::{
     Action, AttemptEnd, AttemptOutcome, BackendId, DeduplicationScope, Endpoint, Event, Idempotency, Micros,
-    Readiness, Request, RequestId, SECOND, ServicePlan, Settings, UpdateScope,
+    Readiness, Request, RequestId, SECOND, Settings, UpdateScope,
 };
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -34,10 +35,6 @@
 const MEMORY: f64 = 1e6;
 /// Weight of the last period in what a volume asks: two periods, as surges start within one.
 const ASK_GAIN: f64 = 0.5;
-/// Time after its last request's latest deadline at which a volume is forgotten (us): past any surge.
-const VOLUME_IDLE: Micros = 60 * SECOND;
-/// Volumes past which idle ones are forgotten at once: far more than a plant has, and under a megabyte.
-const MOST_VOLUMES: usize = 2048;
 /// Time between looks at what is held (us): far under the shortest aim, and cheap.
 const LOOK: Micros = 5_000;
 /// A timer later than this tells of a standstill of the dispatcher itself (us): many looks.
@@ -77,45 +74,6 @@
     share: TokenBucket,
 }
 
-// ---- Limit store -------------------------------------------------------------------------------------
-
-/// A volume: its plan, this dispatcher's part of its reservation, and of its limit's store.
-#[derive(Clone, Debug)]
-struct Volume {
-    plan: ServicePlan,
-    hosts: f64,
-    reserve: TokenBucket,
-    limit: TokenBucket,
-    /// Units a second over the limit that all dispatchers' parts together may fill at.
-    lift: f64,
-    /// When its last request came.
-    used: Micros,
-}
-
-impl Volume {
-    fn new(plan: ServicePlan, hosts: f64, now: Micros) -> Volume {
-        // Guards against a predecessor that spent its part of the store just before a restart: a start takes
-        // a third of its part. Costs the first burst after a start.
-        let limit = TokenBucket::with_tokens(plan.limit_burst / hosts / 3.0, now);
-        let reserve = TokenBucket::with_tokens(plan.reservation / hosts, now);
-        Volume { plan, hosts, reserve, limit, lift: 0.0, used: now }
-    }
-
-    /// Whether the limit lets `units` leave now. Part of each dispatcher: an even one of rate and burst.
-    fn within_limit(&mut self, units: f64, now: Micros) -> bool {
-        let rate = (self.plan.limit + self.lift) / self.hosts;
-        self.plan.limit <= 0.0 || self.limit.refill(now, rate, self.plan.limit_burst / self.hosts) >= units
-    }
-
-    /// News that all dispatchers together use less than the limit lifts this one's even part. The news is
-    /// late: were all parts lifted and used at once until the next, a quarter of the slack would bear it.
-    fn shift(&mut self, used: f64, period: Micros) {
-        let blind = 1.0 + 2.0 * period as f64 / SECOND as f64;
-        let unused = self.plan.limit - used * self.plan.nominal_rate;
-        self.lift = unused.max(0.0).min(self.plan.limit_slack / 4.0 / blind);
-    }
-}
-
 // ---- Node health and slow start ---------------------------------------------------------------------
 
 #[derive(Clone, Debug, Default)]
@@ -275,7 +233,7 @@
     settings: Settings,
     random: SplitMix64,
     nodes: BTreeMap<BackendId, Node>,
-    volumes: BTreeMap<u64, Volume>,
+    quotas: VolumeQuotas,
     requests: BTreeMap<RequestId, Held>,
     attempts: BTreeMap<(RequestId, u8), Attempt>,
     turns: BTreeMap<u64, Turn>,
@@ -333,13 +291,7 @@
                 self.awake_by = now + PERIOD;
                 actions.push(Action::SetTimer { at: now + PERIOD, token: TOKEN_PERIOD });
                 self.period();
-                // Guards against growing with every volume ever asked for. The stores of an idle one are
-                // full; a new one starts with less.
-                let deadlines = self.settings.classes.iter().map(|class| class.deadline);
-                let longest = deadlines.max().unwrap_or(0);
-                // Where clients name ever new ones, they go as soon as no request of theirs can be open.
-                let kept = if self.volumes.len() > MOST_VOLUMES { longest } else { longest + VOLUME_IDLE };
-                self.volumes.retain(|_, volume| now < volume.used + kept);
+                self.quotas.forget_idle(&self.settings.classes, now);
                 self.turns.retain(|_, turn| !turn.queue.is_empty() || now < turn.rest_until);
                 self.look(now, actions);
             }
@@ -424,9 +376,7 @@
             class.latency_objective - left
         };
         let due = (now + class.latency_objective).saturating_sub(spent);
-        let plan = self.settings.plans.get(ask.plan).cloned().unwrap_or_default();
-        let known = self.volumes.entry(volume).or_insert_with(|| Volume::new(plan, hosts, now));
-        (known.hosts, known.used) = (hosts, now);
+        self.quotas.on_request(volume, self.settings.plans.get(ask.plan), hosts, now);
         if !class.ordered_by_key {
             ask.key = 0;
         } else if ask.key != 0 {
@@ -521,25 +471,24 @@
             {
                 continue;
             }
-            let Some(volume) = self.volumes.get_mut(&held.ask.volume) else { continue };
-            if !held.paid && !volume.within_limit(held.ask.units, now) {
+            let Some(quota) = self.quotas.get_mut(held.ask.volume) else { continue };
+            if !held.paid && !quota.admits(held.ask.units, now) {
                 continue;
             }
             let size = 0.5 + 0.5 * held.ask.units / self.settings.mean_units.max(1e-3);
             let margin = 2.0 - (-(now.saturating_sub(node.told) as f64) / node.aim as f64).exp();
             if now + (latency * size * margin) as Micros > *due {
                 // Past its aim a request leaves scarce units of a limit to those that can still meet theirs.
-                if held.paid || volume.within_limit(held.ask.units + self.settings.max_units, now) {
+                if held.paid || quota.admits_with_margin(held.ask.units, self.settings.max_units, now) {
                     late = late.or(Some(*id));
                 }
                 continue;
             }
-            let reserve = volume.plan.reservation / volume.hosts;
             let cap = self.settings.max_units;
-            if volume.reserve.refill(now, reserve, reserve + cap) > 0.0 || node.level.is_infinite() {
+            if quota.has_reservation_left(cap, now) || node.level.is_infinite() {
                 return Some(*id);
             }
-            let share = node.level * volume.plan.weight;
+            let share = node.level * quota.plan.weight;
             let ask = node.asks.entry(held.ask.volume).or_default();
             if ask.share.refill(now, share, share + cap) > 0.0 {
                 return Some(*id);
@@ -561,13 +510,11 @@
         let Request { class, volume, key, units, .. } = held.ask;
         node.held.remove(&(held.due, id));
         held.at = None;
-        if let Some(known) = self.volumes.get_mut(&volume) {
+        if let Some(quota) = self.quotas.get_mut(volume) {
             if !std::mem::replace(&mut held.paid, true) {
-                known.limit.take(units);
+                quota.charge_limit(units);
             }
-            if known.reserve.has_tokens() {
-                known.reserve.take(units);
-            } else {
+            if !quota.charge_reservation(units) {
                 node.asks.entry(volume).or_default().share.take(units);
             }
         }
@@ -645,9 +592,9 @@
         }
         if let Some(held) = self.requests.get_mut(&id) {
             held.out = held.out.saturating_sub(1);
-            let volume = self.volumes.get_mut(&held.ask.volume);
-            if let (Some(volume), Some(used)) = (volume, outcome.volume_usage) {
-                volume.shift(used, self.settings.usage_report_period);
+            let quota = self.quotas.get_mut(held.ask.volume);
+            if let (Some(quota), Some(used)) = (quota, outcome.volume_usage) {
+                quota.on_load_report(used, self.settings.usage_report_period);
             }
             if outcome.end == AttemptEnd::CancelledUnsent {
                 held.attempts = held.attempts.max(1);
@@ -795,9 +742,9 @@
             let latency = node.map_or(0.0, |node| node.latency_at(now));
             let late = now + latency as Micros > held.due;
             let crowded = late && node.is_some_and(|node| latency > node.line() / 2.0);
-            let units = held.ask.units + self.settings.max_units;
-            let short = |volume: &mut Volume| !volume.within_limit(units, now);
-            let scarce = late && !held.paid && self.volumes.get_mut(&held.ask.volume).is_some_and(short);
+            let (units, max_units) = (held.ask.units, self.settings.max_units);
+            let short = |quota: &mut VolumeQuota| !quota.admits_with_margin(units, max_units, now);
+            let scarce = late && !held.paid && self.quotas.get_mut(held.ask.volume).is_some_and(short);
             // Guards against telling a client late what it could have known early: past half of its time a
             // request that was never sent is refused while its client can still come again. Harms where a
             // late answer is worth nearly as much as a timely one.
@@ -824,12 +771,12 @@
             for (volume, ask) in &mut node.asks {
                 ask.rate += ASK_GAIN * (ask.asked - ask.rate);
                 ask.asked = 0.0;
-                let Some(volume) = self.volumes.get(volume) else { continue };
-                let plan = &volume.plan;
+                let Some(quota) = self.quotas.get(*volume) else { continue };
+                let plan = &quota.plan;
                 // Volumes use their dispatchers unevenly: one may carry twice its part. Surges do not count.
-                node.usual += ask.rate.min(2.0 * plan.nominal_rate / volume.hosts);
+                node.usual += ask.rate.min(quota.max_typical_rate());
                 limits += if plan.limit > 0.0 { plan.limit } else { 2.0 * ask.rate };
-                let reserve = ask.rate.min(plan.reservation / volume.hosts);
+                let reserve = ask.rate.min(quota.reserved_rate());
                 reserved += reserve;
                 asks.push(WeightedDemand { rate: ask.rate - reserve, weight: plan.weight });
             }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -8,6 +8,7 @@
 pub mod controller;
 mod event;
 pub mod fair_share;
+mod quota;
 mod random;
 pub mod regulator;
 mod settings;
