--- a/crates/policy/src/controller.rs
+++ b/crates/policy/src/controller.rs
@@ -3,21 +3,25 @@
 //! From top to bottom: tuned constants, node health and slow start, and the life of a request. One
 //! [`Controller`] decides for one dispatcher. It knows its settings, its seed and its own events only.
 
+use crate::attempt::{Attempt, AttemptsInFlight};
 use crate::fair_share::{WeightedDemand, fair_share_level};
+use crate::key_order::KeyOrder;
+use crate::queue::DeadlineQueue;
 use crate::quota::{VolumeQuota, VolumeQuotas};
 use crate::random::SplitMix64;
 use crate::regulator::{PeriodSample, SelfTuningRegulator};
+use crate::request::{FirstAttemptTimes, PossibleExecution, QueuedRequest};
+use crate::retry::{self, RetryBudget};
+use crate::timers::{Timer, Timers};
 use crate::token_bucket::TokenBucket;
 use crate::{
-    Action, AttemptEnd, AttemptOutcome, BackendId, DeduplicationScope, Endpoint, Event, Idempotency, Micros,
-    Readiness, Request, RequestId, SECOND, Settings, UpdateScope,
+    Action, AttemptEnd, AttemptOutcome, BackendId, Endpoint, Event, Micros, Readiness, Request, RequestId,
+    SECOND, Settings, UpdateScope,
 };
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::collections::BTreeMap;
 
 // ---- Tuned constants ---------------------------------------------------------------------------------
 
-/// Length of a control period (us): the paper's second; rates a second and units a period are then one.
-const PERIOD: Micros = SECOND;
 /// Requests a second that the ceiling grants a node at the least: enough for a fit.
 const CEILING_REQUESTS: f64 = 6.0;
 /// Outstanding requests a node is allowed at first: a few.
@@ -35,14 +39,8 @@
 const MEMORY: f64 = 1e6;
 /// Weight of the last period in what a volume asks: two periods, as surges start within one.
 const ASK_GAIN: f64 = 0.5;
-/// Time between looks at what is held (us): far under the shortest aim, and cheap.
-const LOOK: Micros = 5_000;
-/// A timer later than this tells of a standstill of the dispatcher itself (us): many looks.
-const STANDSTILL: Micros = 50_000;
 /// Attempts in a row that found nobody before a node counts as down: one or two may be the link's doing.
 const DOWN_MISSES: u32 = 3;
-/// Answers to later attempts after which one that is out counts as stuck: a few, as nodes serve some at once.
-const STUCK: u32 = 3;
 /// Dispatchers whose late requests may look after a crowded node at the pace of one; more share that pace.
 const LOOKERS: u64 = 8;
 /// Wait between trials of a node that is down (us): a fair part of a client's patience.
@@ -60,9 +58,6 @@
 /// Nodes drawn for a new object to choose from: a few keep stale news from sending all to one node, and
 /// the cost flat in fleet size.
 const DRAWN: usize = 32;
-const TOKEN_PERIOD: u64 = 1;
-const TOKEN_LOOK: u64 = 2;
-const TOKEN_ASK: u64 = 3;
 
 // ---- Band split --------------------------------------------------------------------------------------
 
@@ -82,7 +77,7 @@
     readiness: Readiness,
     came_up: Micros,
     out: u32,
-    held: BTreeSet<(Micros, RequestId)>,
+    queue: DeadlineQueue,
     bound: f64,
     cut_at: Micros,
     latency: f64,
@@ -193,40 +188,6 @@
 
 // ---- The life of a request ---------------------------------------------------------------------------
 
-#[derive(Clone, Debug, Default)]
-struct Held {
-    ask: Request,
-    due: Micros,
-    /// Half of its time is over by then.
-    half: Micros,
-    attempts: u32,
-    /// The cell and the time of the first attempt that may have run. Not the node: it may be forgotten.
-    ran: Option<(u32, Micros)>,
-    /// The node it waits for, unless it is out or homeless.
-    at: Option<BackendId>,
-    out: u32,
-    /// Its units were taken from the limit's store.
-    paid: bool,
-    streaming: bool,
-}
-
-#[derive(Clone, Debug)]
-struct Attempt {
-    node: BackendId,
-    cell: u32,
-    sent_at: Micros,
-    key: u64,
-    units: f64,
-    /// Answers of its node to attempts that left later.
-    overtaken: u32,
-}
-
-#[derive(Clone, Debug, Default)]
-struct Turn {
-    queue: VecDeque<RequestId>,
-    rest_until: Micros,
-}
-
 /// Decides for one dispatcher.
 #[derive(Clone, Debug, Default)]
 pub struct Controller {
@@ -234,19 +195,15 @@
     random: SplitMix64,
     nodes: BTreeMap<BackendId, Node>,
     quotas: VolumeQuotas,
-    requests: BTreeMap<RequestId, Held>,
-    attempts: BTreeMap<(RequestId, u8), Attempt>,
-    turns: BTreeMap<u64, Turn>,
+    requests: BTreeMap<RequestId, QueuedRequest>,
+    attempts: AttemptsInFlight,
+    key_order: KeyOrder,
     /// The ready nodes, and those of each cell.
     open: Vec<BackendId>,
     cells: BTreeMap<u32, Vec<BackendId>>,
-    taken: VecDeque<Micros>,
-    extras: VecDeque<Micros>,
-    /// The longest time that a request of each class came with: that of a first try.
-    patience: Vec<Micros>,
-    /// When the next period ends: a later event tells of a standstill.
-    awake_by: Micros,
-    looking: bool,
+    retry_budget: RetryBudget,
+    first_attempt_times: FirstAttemptTimes,
+    timers: Timers,
     ask_wait: Micros,
     ask_at: Micros,
 }
@@ -254,11 +211,11 @@
 impl Controller {
     /// A controller with its settings and the seed of its random numbers.
     pub fn new(settings: Settings, seed: u64) -> Controller {
-        let patience = vec![0; settings.classes.len()];
+        let first_attempt_times = FirstAttemptTimes::new(settings.classes.len());
         Controller {
             settings,
             random: SplitMix64::new(seed),
-            patience,
+            first_attempt_times,
             ask_wait: ASK_START,
             ..Controller::default()
         }
@@ -266,9 +223,8 @@
 
     /// Takes one event at a time that never moves back, and adds what is to be done to `actions`.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
-        if self.awake_by == 0 {
-            self.awake_by = now + PERIOD;
-            actions.push(Action::SetTimer { at: now + PERIOD, token: TOKEN_PERIOD });
+        if !self.timers.are_started() {
+            actions.push(self.timers.start_period(now));
             if self.settings.permissions.must_poll {
                 actions.push(Action::Watch);
             }
@@ -276,7 +232,7 @@
         // Guards against reading a standstill of its own as the silence of all nodes: a timer that comes far
         // too late tells of it. Covers pauses of the machine and jumps of the clock as well; harms where a
         // node did fall silent meanwhile, by one aim.
-        if now > self.awake_by + STANDSTILL {
+        if self.timers.head_has_stalled(now) {
             self.nodes.values_mut().for_each(|node| node.heard = now);
         }
         match event {
@@ -284,27 +240,28 @@
             Event::Request(request) => self.take(now, request, actions),
             Event::AttemptEnded(outcome) => self.outcome(now, outcome, actions),
             Event::ResponseStarted { id } => {
-                self.requests.entry(id).and_modify(|held| held.streaming = true);
+                self.requests.entry(id).and_modify(|held| held.is_streaming = true);
             }
             Event::RequestEnded { id } => self.forget(id),
-            Event::Timer { token: TOKEN_PERIOD } => {
-                self.awake_by = now + PERIOD;
-                actions.push(Action::SetTimer { at: now + PERIOD, token: TOKEN_PERIOD });
-                self.period();
-                self.quotas.forget_idle(&self.settings.classes, now);
-                self.turns.retain(|_, turn| !turn.queue.is_empty() || now < turn.rest_until);
-                self.look(now, actions);
-            }
-            Event::Timer { token: TOKEN_LOOK } => {
-                self.looking = false;
-                self.look(now, actions);
-            }
-            Event::Timer { token: TOKEN_ASK } if now >= self.ask_at => actions.push(Action::Watch),
-            Event::Timer { .. } | Event::HealthCheckEnded { .. } => {}
+            Event::Timer { token } => match Timer::from_token(token) {
+                Some(Timer::PeriodEnd) => {
+                    actions.push(self.timers.start_period(now));
+                    self.period();
+                    self.quotas.forget_idle(&self.settings.classes, now);
+                    self.key_order.forget_idle(now);
+                    self.look(now, actions);
+                }
+                Some(Timer::Sweep) => {
+                    self.timers.on_sweep();
+                    self.look(now, actions);
+                }
+                Some(Timer::Poll) if now >= self.ask_at => actions.push(Action::Watch),
+                Some(Timer::Poll) | None => {}
+            },
+            Event::HealthCheckEnded { .. } => {}
         }
-        if !self.looking && self.requests.values().any(|held| held.out == 0) {
-            self.looking = true;
-            actions.push(Action::SetTimer { at: now + LOOK, token: TOKEN_LOOK });
+        if !self.timers.has_sweep() && self.requests.values().any(|held| held.in_flight == 0) {
+            actions.push(self.timers.start_sweep(now));
         }
     }
 
@@ -316,7 +273,7 @@
             let wait = self.ask_wait as f64 * (0.75 + 0.5 * chance);
             let spread = (ASK_PART as f64 * heads).min(ASK_TOP / 1.5) * (0.5 + chance);
             self.ask_at = now + wait.max(spread).min(ASK_TOP) as Micros;
-            actions.push(Action::SetTimer { at: self.ask_at, token: TOKEN_ASK });
+            actions.push(Timer::Poll.set(self.ask_at));
             let top = (self.settings.rules.poll_interval / 4).max(ASK_START);
             self.ask_wait = (self.ask_wait * 2).min(top);
             return;
@@ -333,7 +290,7 @@
             if restarted {
                 // A new process: what was learned of the old one is void, what is out and held stays.
                 let old = std::mem::replace(node, Node::new(aim, now));
-                (node.out, node.held, node.asks) = (old.out, old.held, old.asks);
+                (node.out, node.queue, node.asks) = (old.out, old.queue, old.asks);
             }
             if restarted || scope == UpdateScope::Cached || node.slow_start.is_unused() {
                 let part = self.settings.rules.slow_start.safe_units / f64::from(self.settings.heads.max(1));
@@ -344,15 +301,15 @@
             node.came_up = node.came_up.max(entry.started_at);
         }
         self.nodes
-            .retain(|_, node| node.readiness != Readiness::Removed || node.out > 0 || !node.held.is_empty());
+            .retain(|_, node| node.readiness != Readiness::Removed || node.out > 0 || !node.queue.is_empty());
         (self.open, self.cells) = Default::default();
         for (name, node) in self.nodes.iter().filter(|(_, node)| node.readiness == Readiness::Ready) {
             self.open.push(*name);
             self.cells.entry(node.cell).or_default().push(*name);
         }
         let closed = self.nodes.values_mut().filter(|node| node.readiness != Readiness::Ready);
-        let stray: Vec<_> = closed.flat_map(|node| std::mem::take(&mut node.held)).collect();
-        stray.iter().for_each(|(_, id)| self.house(*id, now));
+        let stray: Vec<_> = closed.flat_map(|node| node.queue.take_all()).collect();
+        stray.iter().for_each(|id| self.house(*id, now));
         self.look(now, actions);
     }
 
@@ -365,28 +322,16 @@
         let units = if ask.units.is_finite() { ask.units.max(0.0) } else { self.settings.mean_units };
         let hosts = ask.volume_heads.max(1.0).min(f64::from(self.settings.heads.max(1)));
         (ask.units, ask.volume_heads) = (units, hosts);
-        // A client's next try comes with less time than a first one; its aim ran from the first.
-        let left = ask.deadline.saturating_sub(now);
-        let patience = &mut self.patience[ask.class];
-        *patience = left.max(*patience).min(class.deadline);
-        // One that comes with less than an aim is a client in a hurry, not one that has waited.
-        let spent = if left > class.latency_objective {
-            patience.saturating_sub(left)
-        } else {
-            class.latency_objective - left
-        };
-        let due = (now + class.latency_objective).saturating_sub(spent);
         self.quotas.on_request(volume, self.settings.plans.get(ask.plan), hosts, now);
         if !class.ordered_by_key {
             ask.key = 0;
-        } else if ask.key != 0 {
-            self.turns.entry(ask.key).or_default().queue.push_back(id);
         }
-        self.taken.push_back(now);
-        let half = now + (left / 2).saturating_sub(LOOK);
-        self.requests.insert(id, Held { ask, due, half, ..Held::default() });
+        let due_at = self.first_attempt_times.due_at(&ask, class, now);
+        self.key_order.push(ask.key, id);
+        self.retry_budget.on_request(now);
+        self.requests.insert(id, QueuedRequest::new(ask, due_at, now));
         self.house(id, now);
-        if let Some(name) = self.requests.get(&id).and_then(|held| held.at) {
+        if let Some(name) = self.requests.get(&id).and_then(|held| held.queued_at) {
             if let Some(node) = self.nodes.get_mut(&name) {
                 node.offered += units;
                 node.asks.entry(volume).or_default().asked += units;
@@ -399,12 +344,10 @@
     fn house(&mut self, id: RequestId, now: Micros) {
         let chance = self.random.next_fraction();
         let Some(held) = self.requests.get_mut(&id) else { return };
-        if let Some(node) = held.at.take().and_then(|name| self.nodes.get_mut(&name)) {
-            node.held.remove(&(held.due, id));
+        if let Some(node) = held.queued_at.take().and_then(|name| self.nodes.get_mut(&name)) {
+            node.queue.remove(held.due_at, id);
         }
-        let bound_to =
-            held.ran.filter(|_| self.settings.classes[held.ask.class].idempotency == Idempotency::WithKey);
-        let cell = bound_to.map(|(cell, _)| cell).or(held.ask.shard);
+        let cell = held.required_shard(&self.settings.classes[held.spec.class]);
         // While a node is replaced two may hold the cell; one in slow start takes what it has room for.
         let drawn: Vec<BackendId> = match cell {
             Some(cell) => self.cells.get(&cell).cloned().unwrap_or_default(),
@@ -416,17 +359,17 @@
         let held = &self.requests[&id];
         let ranked = drawn.into_iter().enumerate().filter_map(|(i, name)| {
             let node = self.nodes.get_mut(&name)?;
-            let starting = node.slow_start_room(&self.settings, now) < held.ask.units;
-            let crowd = (f64::from(node.out) + node.held.len() as f64) / node.bound;
+            let starting = node.slow_start_room(&self.settings, now) < held.spec.units;
+            let crowd = (f64::from(node.out) + node.queue.len() as f64) / node.bound;
             let jitter = 1.0 + 0.2 * ((chance * 977.0 + i as f64 * 0.618).fract());
             let cost = node.latency_at(now) * (1.0 + crowd) * jitter;
             Some((node.down(), starting, cost as Micros, name))
         });
         let found = ranked.min().map(|(.., name)| name);
         let Some(held) = self.requests.get_mut(&id) else { return };
-        held.at = found;
+        held.queued_at = found;
         if let Some(node) = found.and_then(|name| self.nodes.get_mut(&name)) {
-            node.held.insert((held.due, id));
+            node.queue.insert(held.due_at, id);
         }
     }
 
@@ -440,9 +383,9 @@
     /// The next request to leave for a node. Those whose volume has reservation or share left come first;
     /// what they leave passes on to the others, and then to those too late for their aim.
     fn choose(&mut self, name: BackendId, now: Micros) -> Option<RequestId> {
-        let extras_left = self.extras_left(now);
+        let extras_left = self.retry_budget.allows_retry(&self.settings.rules.retry_budget, now);
         let node = self.nodes.get_mut(&name)?;
-        if node.held.is_empty() || node.down() && (now < node.trial_at || node.out > 0) {
+        if node.queue.is_empty() || node.down() && (now < node.trial_at || node.out > 0) {
             return None;
         }
         // Guards against taking a connection that fell silent for a silent node: one request more asks it,
@@ -461,39 +404,39 @@
         let latency = node.latency_at(now);
         let crowded = latency > node.line() / 2.0;
         let (mut spare, mut late) = (None, None);
-        for (due, id) in &node.held {
-            let held = &self.requests[id];
-            if held.ask.units > room
+        for id in node.queue.iter() {
+            let held = &self.requests[&id];
+            if held.spec.units > room
                 || (held.attempts > 0 && !extras_left)
-                || self.turns.get(&held.ask.key).is_some_and(|turn| {
-                    held.ask.key != 0 && (turn.queue.front() != Some(id) || now < turn.rest_until)
-                })
+                || !self.key_order.allows(held.spec.key, id, now)
             {
                 continue;
             }
-            let Some(quota) = self.quotas.get_mut(held.ask.volume) else { continue };
-            if !held.paid && !quota.admits(held.ask.units, now) {
+            let Some(quota) = self.quotas.get_mut(held.spec.volume) else { continue };
+            if !held.quota_charged && !quota.admits(held.spec.units, now) {
                 continue;
             }
-            let size = 0.5 + 0.5 * held.ask.units / self.settings.mean_units.max(1e-3);
+            let size = 0.5 + 0.5 * held.spec.units / self.settings.mean_units.max(1e-3);
             let margin = 2.0 - (-(now.saturating_sub(node.told) as f64) / node.aim as f64).exp();
-            if now + (latency * size * margin) as Micros > *due {
+            if now + (latency * size * margin) as Micros > held.due_at {
                 // Past its aim a request leaves scarce units of a limit to those that can still meet theirs.
-                if held.paid || quota.admits_with_margin(held.ask.units, self.settings.max_units, now) {
-                    late = late.or(Some(*id));
+                if held.quota_charged
+                    || quota.admits_with_margin(held.spec.units, self.settings.max_units, now)
+                {
+                    late = late.or(Some(id));
                 }
                 continue;
             }
             let cap = self.settings.max_units;
             if quota.has_reservation_left(cap, now) || node.level.is_infinite() {
-                return Some(*id);
+                return Some(id);
             }
             let share = node.level * quota.plan.weight;
-            let ask = node.asks.entry(held.ask.volume).or_default();
+            let ask = node.asks.entry(held.spec.volume).or_default();
             if ask.share.refill(now, share, share + cap) > 0.0 {
-                return Some(*id);
+                return Some(id);
             }
-            spare = spare.or(Some(*id));
+            spare = spare.or(Some(id));
         }
         // Guards against a belief that nothing can change: where nothing is out no answer tells that a stall
         // is over. Soon after the last news one late request goes to see; soon for all dispatchers together,
@@ -507,11 +450,11 @@
         let (Some(held), Some(node)) = (self.requests.get_mut(&id), self.nodes.get_mut(&name)) else {
             return;
         };
-        let Request { class, volume, key, units, .. } = held.ask;
-        node.held.remove(&(held.due, id));
-        held.at = None;
+        let Request { class, volume, key, units, .. } = held.spec;
+        node.queue.remove(held.due_at, id);
+        held.queued_at = None;
         if let Some(quota) = self.quotas.get_mut(volume) {
-            if !std::mem::replace(&mut held.paid, true) {
+            if !std::mem::replace(&mut held.quota_charged, true) {
                 quota.charge_limit(units);
             }
             if !quota.charge_reservation(units) {
@@ -528,36 +471,23 @@
         node.slow_start.take(units);
         let class = &self.settings.classes[class];
         node.aim = node.aim.min(class.latency_objective);
-        let attempt = Attempt { node: name, cell: node.cell, sent_at: now, key, units, overtaken: 0 };
-        self.attempts.insert((id, held.attempts as u8), attempt);
+        let attempt = Attempt::new(name, node.cell, key, units, now);
+        self.attempts.insert(id, held.attempts as u8, attempt);
         if held.attempts > 0 {
-            self.extras.push_back(now);
+            self.retry_budget.on_retry(now);
         }
         held.attempts += 1;
-        held.out += 1;
+        held.in_flight += 1;
         // An answer long after the aim is worth little, and the wait for it would fill the node: the attempt
         // ends at the aim, or half an aim after it left. Harms where late answers are worth nearly as much.
-        let until = held.due.max(now + class.latency_objective / 2).min(held.ask.deadline);
+        let until = held.due_at.max(now + class.latency_objective / 2).min(held.spec.deadline);
         actions.push(Action::Send { id, backend: name, until });
     }
 
-    /// Whether the budget has room for one more further attempt.
-    fn extras_left(&mut self, now: Micros) -> bool {
-        let rules = &self.settings.rules;
-        for times in [&mut self.taken, &mut self.extras] {
-            while times.front().is_some_and(|at| at + rules.retry_budget.window <= now) {
-                times.pop_front();
-            }
-        }
-        let most = rules.retry_budget.free_retries
-            + rules.retry_budget.retries_per_request * self.taken.len() as f64;
-        rules.retry_budget.window == 0 || self.extras.len() as f64 + 1.0 <= most
-    }
-
     fn outcome(&mut self, now: Micros, outcome: AttemptOutcome, actions: &mut Vec<Action>) {
         let id = outcome.id;
-        let Some(attempt) = self.attempts.remove(&(id, outcome.attempt)) else { return };
-        let name = attempt.node;
+        let Some(attempt) = self.attempts.remove(id, outcome.attempt) else { return };
+        let name = attempt.backend;
         // Guards against a crowd at a process that has just started: where one request of each dispatcher is
         // more than it bears together, a refused connection makes it count as new before any list tells, and
         // so do a few in a row that did not come up. Harms one whose connections were full, by a slow start.
@@ -570,41 +500,31 @@
             if crowd && (silent || outcome.end == AttemptEnd::ConnectFailed) {
                 (node.came_up, node.slow_start) = (now, TokenBucket::with_debt(debt, now));
             }
-            node.out = node.out.saturating_sub(u32::from(attempt.overtaken < STUCK));
-            // Guards against a connection that fell silent: nodes take requests in turn, so what several
-            // later ones have overtaken is stuck, and holds none of the places there.
-            let later = self.attempts.values_mut().filter(|other| {
-                outcome.end == AttemptEnd::Ok && other.node == name && other.sent_at < attempt.sent_at
-            });
-            for other in later {
-                // One that left long after it says as much as a few.
-                let long = attempt.sent_at > other.sent_at + node.doubt();
-                let steps = if long { STUCK } else { 1 };
-                let before = other.overtaken;
-                other.overtaken = (before + steps).min(STUCK);
-                node.out = node.out.saturating_sub(u32::from(before < STUCK && other.overtaken == STUCK));
+            node.out = node.out.saturating_sub(u32::from(!attempt.is_stalled()));
+            if outcome.end == AttemptEnd::Ok {
+                node.out = node.out.saturating_sub(self.attempts.overtake_earlier(&attempt, node.doubt()));
             }
             Self::judge(node, &attempt, &outcome, now);
         }
-        let unsure = matches!(outcome.end, AttemptEnd::Timeout | AttemptEnd::Reset | AttemptEnd::Cancelled);
-        if let (true, Some(turn)) = (unsure, self.turns.get_mut(&attempt.key)) {
-            turn.rest_until = turn.rest_until.max(now + self.settings.rules.key_order_pause);
+        if retry::may_still_run(outcome.end) {
+            self.key_order.pause(attempt.key, now + self.settings.rules.key_order_pause);
         }
         if let Some(held) = self.requests.get_mut(&id) {
-            held.out = held.out.saturating_sub(1);
-            let quota = self.quotas.get_mut(held.ask.volume);
+            held.in_flight = held.in_flight.saturating_sub(1);
+            let quota = self.quotas.get_mut(held.spec.volume);
             if let (Some(quota), Some(used)) = (quota, outcome.volume_usage) {
                 quota.on_load_report(used, self.settings.usage_report_period);
             }
-            if outcome.end == AttemptEnd::CancelledUnsent {
-                held.attempts = held.attempts.max(1);
-            } else if unsure || outcome.end == AttemptEnd::Error {
-                held.ran = held.ran.or(Some((attempt.cell, attempt.sent_at)));
+            if retry::may_have_run(outcome.end) && held.possibly_executed.is_none() {
+                let execution = PossibleExecution { shard: attempt.shard, sent_at: attempt.sent_at };
+                held.possibly_executed = Some(execution);
             }
             if outcome.request_ended || outcome.end == AttemptEnd::Ok {
                 self.forget(id);
-            } else if held.out == 0 && !held.streaming {
-                if self.may_resend(id, now) && outcome.end != AttemptEnd::Timeout {
+            } else if held.in_flight == 0 && !held.is_streaming {
+                let has_budget = self.retry_budget.allows_retry(&self.settings.rules.retry_budget, now);
+                let may_retry = has_budget && retry::may_retry(held, &self.settings, now);
+                if may_retry && outcome.end != AttemptEnd::Timeout {
                     self.house(id, now);
                 } else {
                     self.give_up(id, now, actions);
@@ -656,7 +576,7 @@
             AttemptEnd::Timeout => {
                 // The answer was still to come: it counts as twice as long, at a node that had answered less.
                 // Where later ones were answered it is this one that is stuck, and tells nothing of the node.
-                if attempt.overtaken == 0 {
+                if !attempt.is_overtaken() {
                     node.missed = (node.missed + 1).min(DOWN_MISSES - 1).max(node.missed);
                     node.learn(node.latency.max(2.0 * outcome.latency as f64), now);
                     node.crowded(attempt.sent_at, now);
@@ -666,33 +586,12 @@
         }
     }
 
-    fn may_resend(&mut self, id: RequestId, now: Micros) -> bool {
-        let extras_left = self.extras_left(now);
-        let held = &self.requests[&id];
-        let class = &self.settings.classes[held.ask.class];
-        let safe = match (class.idempotency, held.ran) {
-            (Idempotency::Idempotent, _) | (_, None) => true,
-            (Idempotency::NotIdempotent, Some(_)) => false,
-            (Idempotency::WithKey, Some((_, at))) => now < at + class.deduplication_window,
-        };
-        safe && extras_left
-            && held.attempts < self.settings.permissions.max_attempts
-            && now + 2 * self.settings.tick < held.ask.deadline
-    }
-
     /// The final answer of a request that is not served: a refusal where trying again is harmless.
     fn give_up(&mut self, id: RequestId, now: Micros, actions: &mut Vec<Action>) {
         let Some(held) = self.requests.get(&id) else { return };
-        let class = &self.settings.classes[held.ask.class];
-        let harmless = match class.idempotency {
-            Idempotency::Idempotent => true,
-            Idempotency::WithKey => {
-                held.ran.is_none() || class.deduplication_scope == DeduplicationScope::All
-            }
-            Idempotency::NotIdempotent => held.ran.is_none(),
-        };
-        if harmless {
-            let node = held.at.and_then(|name| self.nodes.get(&name));
+        let class = &self.settings.classes[held.spec.class];
+        if retry::is_safe_for_client_to_retry(held, class) {
+            let node = held.queued_at.and_then(|name| self.nodes.get(&name));
             let queue = node.map_or(SECOND, |node| node.latency_at(now) as Micros);
             let trial = node.map_or(0, |node| node.trial_at.saturating_sub(now));
             let retry_after = queue.max(trial).min(self.settings.permissions.max_retry_after);
@@ -705,51 +604,46 @@
 
     fn forget(&mut self, id: RequestId) {
         let Some(held) = self.requests.remove(&id) else { return };
-        if let Some(node) = held.at.and_then(|name| self.nodes.get_mut(&name)) {
-            node.held.remove(&(held.due, id));
+        if let Some(node) = held.queued_at.and_then(|name| self.nodes.get_mut(&name)) {
+            node.queue.remove(held.due_at, id);
         }
-        self.leave_turn(id, held.ask.key);
+        self.leave_turn(id, held.spec.key);
     }
 
     /// Ends a request's turn once it is over and none of its attempts is without an outcome.
     fn leave_turn(&mut self, id: RequestId, key: u64) {
-        let open = self.attempts.range((id, 0)..=(id, u8::MAX)).next().is_some();
-        if key == 0 || open || self.requests.contains_key(&id) {
-            return;
-        }
-        if let Some(turn) = self.turns.get_mut(&key) {
-            turn.queue.retain(|other| *other != id);
+        if !self.attempts.has_any(id) && !self.requests.contains_key(&id) {
+            self.key_order.remove(key, id);
         }
     }
 
     /// Looks at all that is held: gives up what cannot be answered any more, and releases the rest.
     fn look(&mut self, now: Micros, actions: &mut Vec<Action>) {
-        let homeless = self.requests.iter().filter(|(_, held)| held.at.is_none() && held.out == 0);
+        let homeless =
+            self.requests.iter().filter(|(_, held)| held.queued_at.is_none() && held.in_flight == 0);
         for id in homeless.map(|(id, _)| *id).collect::<Vec<_>>() {
             self.house(id, now);
         }
         let mut lost = Vec::new();
-        for (id, held) in self.requests.iter().filter(|(_, held)| held.out == 0) {
-            let class = &self.settings.classes[held.ask.class];
-            let node = held.at.and_then(|name| self.nodes.get(&name));
+        for (id, held) in self.requests.iter().filter(|(_, held)| held.in_flight == 0) {
+            let class = &self.settings.classes[held.spec.class];
+            let node = held.queued_at.and_then(|name| self.nodes.get(&name));
             let needs = node.map_or(0, |node| node.latency as Micros / 2).max(2 * self.settings.tick);
-            let stale = class.idempotency == Idempotency::WithKey
-                && held
-                    .ran
-                    .is_some_and(|(_, at)| now + self.settings.tick >= at + class.deduplication_window);
+            let stale = retry::is_deduplication_over(held, class, now + self.settings.tick);
             // Guards against a collapse: past its aim, at a node with work enough, a request only pushes
             // others past theirs. Harms where late answers are worth nearly as much as timely ones.
             let latency = node.map_or(0.0, |node| node.latency_at(now));
-            let late = now + latency as Micros > held.due;
+            let late = now + latency as Micros > held.due_at;
             let crowded = late && node.is_some_and(|node| latency > node.line() / 2.0);
-            let (units, max_units) = (held.ask.units, self.settings.max_units);
+            let (units, max_units) = (held.spec.units, self.settings.max_units);
             let short = |quota: &mut VolumeQuota| !quota.admits_with_margin(units, max_units, now);
-            let scarce = late && !held.paid && self.quotas.get_mut(held.ask.volume).is_some_and(short);
+            let scarce =
+                late && !held.quota_charged && self.quotas.get_mut(held.spec.volume).is_some_and(short);
             // Guards against telling a client late what it could have known early: past half of its time a
             // request that was never sent is refused while its client can still come again. Harms where a
             // late answer is worth nearly as much as a timely one.
-            let unsent = held.attempts == 0 && late && now >= held.half;
-            if now + needs >= held.ask.deadline || stale || crowded || scarce || unsent {
+            let unsent = held.attempts == 0 && late && now >= held.half_time_at;
+            if now + needs >= held.spec.deadline || stale || crowded || scarce || unsent {
                 lost.push(*id);
             }
         }
@@ -796,7 +690,7 @@
             node.over = node.answers > 0 && mean > target;
             // Departure: while requests wait here for the bound, the node takes what it takes, and that is
             // what there is to split; the loop's rate is above it then.
-            let rate = if node.held.is_empty() { node.tuner.rate } else { node.tuner.rate.min(node.served) };
+            let rate = if node.queue.is_empty() { node.tuner.rate } else { node.tuner.rate.min(node.served) };
             node.level = fair_share_level(rate - reserved, &asks);
             (node.answers, node.took, node.served, node.offered, node.sent) = (0, 0.0, 0.0, 0.0, 0.0);
         }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -5,13 +5,19 @@
 //! its own clock; each event adds [`Action`]s for the head to carry out. The crate has no I/O and no clock.
 
 mod action;
+mod attempt;
 pub mod controller;
 mod event;
 pub mod fair_share;
+mod key_order;
+mod queue;
 mod quota;
 mod random;
 pub mod regulator;
+mod request;
+mod retry;
 mod settings;
+mod timers;
 mod token_bucket;
 
 pub use action::Action;
