--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -5,9 +5,20 @@
 //! its own clock; each event adds [`Action`]s for the head to carry out. The crate has no I/O and no clock.
 
 mod action;
+mod attempt;
 pub mod controller;
 mod event;
+pub mod fair_share;
+mod key_order;
+mod queue;
+mod quota;
+mod random;
+pub mod regulator;
+mod request;
+mod retry;
 mod settings;
+mod timers;
+mod token_bucket;
 
 pub use action::Action;
 pub use controller::Controller;
@@ -20,6 +31,9 @@
 /// A time or a span on the head's clock, in microseconds.
 pub type Micros = u64;
 
+/// One second of the head's clock.
+const SECOND: Micros = 1_000_000;
+
 /// The identity of a backend; its value carries no meaning.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct BackendId(pub u64);
