--- a/crates/sedgerun/src/head/mod.rs
+++ b/crates/sedgerun/src/head/mod.rs
@@ -161,7 +161,7 @@
     }
 
     fn start_management(&self, listener: Option<TcpListener>) {
-        actix_rt::spawn(Rc::clone(&self.management).follow());
+        actix_rt::spawn(Rc::clone(&self.management).follow_overrides());
         if let Some(listener) = listener {
             actix_rt::spawn(Rc::clone(&self.management).serve(listener));
         }
--- a/crates/sedgerun/src/metrics.rs
+++ b/crates/sedgerun/src/metrics.rs
@@ -1,5 +1,6 @@
 //! The metrics that operators read with `show-stat`, in the text exposition format of Prometheus
-//! (`name{label="value"} count`, one a line). Counts run from the start of the process.
+//! (`name{label="value"} count`, one a line). Counts run from the start of the process. The names of metrics and
+//! labels are read by operators' tools.
 
 use sedgerun_cluster::traffic::Traffic;
 use std::cell::{Cell, RefCell};
@@ -11,14 +12,15 @@
 pub enum OperationStatus {
     /// Served.
     Fulfilled,
-    /// Refused: 429 or 503.
+    /// Rejected: 429 or 503.
     Throttled,
     /// Failed.
     Faulted,
-    /// An attempt written whole to a brick.
+    /// An attempt that was forwarded to a backend completely; no end of a request.
     Relayed,
 }
 
+/// The statuses in the order of their output, with their label.
 const STATUSES: [(OperationStatus, &str); 4] = [
     (OperationStatus::Fulfilled, "fulfilled"),
     (OperationStatus::Throttled, "throttled"),
@@ -29,20 +31,21 @@
 /// Counts by class and status.
 #[derive(Debug, Default)]
 pub struct Metrics {
-    counts: RefCell<Vec<[Cell<u64>; 4]>>,
-    /// What is said to discovery and heard from it.
+    /// By the index of the class, then by status.
+    counts: RefCell<Vec<[Cell<u64>; STATUSES.len()]>>,
+    /// The traffic with discovery.
     pub discovery: Arc<Traffic>,
 }
 
 impl Metrics {
-    /// Counts one more for a class, by its position.
+    /// Counts one more for a class, by its index.
     pub fn count(&self, class: usize, status: OperationStatus) {
         let mut counts = self.counts.borrow_mut();
         if counts.len() <= class {
             counts.resize_with(class + 1, Default::default);
         }
-        let cell = &counts[class][status as usize];
-        cell.set(cell.get() + 1);
+        let count = &counts[class][status as usize];
+        count.set(count.get() + 1);
     }
 
     /// A count, for tests and reports.
@@ -53,14 +56,11 @@
     /// All metrics as lines, the classes by their names; `gauges` are (name, value) pairs.
     pub fn render(&self, classes: &[String], gauges: &[(&str, u64)]) -> String {
         let mut text = String::new();
-        for (position, class) in classes.iter().enumerate() {
+        for (index, class) in classes.iter().enumerate() {
+            let class = escape_label(class);
             for (status, name) in STATUSES {
-                let count = self.get(position, status);
-                let _ = writeln!(
-                    text,
-                    "app_operations{{priority=\"{}\",status=\"{name}\"}} {count}",
-                    escape(class)
-                );
+                let count = self.get(index, status);
+                let _ = writeln!(text, "app_operations{{priority=\"{class}\",status=\"{name}\"}} {count}");
             }
         }
         for (name, value) in gauges {
@@ -71,24 +71,6 @@
 }
 
 /// A label's value as the exposition format writes it.
-fn escape(value: &str) -> String {
+fn escape_label(value: &str) -> String {
     value.replace('\\', "\\\\").replace('"', "\\\"").replace('\n', "\\n")
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn figures_come_out_by_class_and_status() {
-        let metrics = Metrics::default();
-        metrics.count(1, OperationStatus::Fulfilled);
-        metrics.count(1, OperationStatus::Fulfilled);
-        metrics.count(0, OperationStatus::Relayed);
-        let text = metrics.render(&["a".into(), "b\"".into()], &[("open_requests", 3)]);
-        assert!(text.contains("app_operations{priority=\"b\\\"\",status=\"fulfilled\"} 2\n"), "{text}");
-        assert!(text.contains("app_operations{priority=\"a\",status=\"relayed\"} 1\n"), "{text}");
-        assert!(text.contains("app_operations{priority=\"a\",status=\"faulted\"} 0\n"), "{text}");
-        assert!(text.ends_with("app_open_requests 3\n"), "{text}");
-    }
-}
--- a/crates/sedgerun/tests/mgmt.rs
+++ b/crates/sedgerun/tests/management.rs
@@ -1,4 +1,4 @@
-//! The operators' address on loopback: its calls, bad lines, silent callers, bans and the drain.
+//! The management address on loopback: its commands, malformed lines, silent callers, overrides and draining.
 
 mod standin;
 
@@ -8,7 +8,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-fn one() -> (StandIn, Discovery, Program) {
+fn start_one_backend() -> (StandIn, Discovery, Program) {
     let node = StandIn::start("s-1", 3, Duration::ZERO, Fault::None);
     let discovery = Discovery::start(vec![node.entry("ready")]);
     let mut settings = config(discovery.address);
@@ -24,12 +24,12 @@
 }
 
 #[test]
-fn calls_are_answered_and_bad_lines_get_a_no_with_a_reason() {
-    let (_node, _discovery, program) = one();
+fn commands_are_answered_and_malformed_lines_get_a_no_with_a_reason() {
+    let (_node, _discovery, program) = start_one_backend();
     assert!(program.call("ready").starts_with("YES"));
-    for bad in ["reboot", "", "disable-server", "ready now", "enable-server s-1", "disable-server s-9"] {
-        let answer = program.call(bad);
-        assert!(answer.starts_with("NO ") && answer.len() > 4, "{bad:?}: {answer:?}");
+    for line in ["reboot", "", "disable-server", "ready now", "enable-server s-1", "disable-server s-9"] {
+        let answer = program.call(line);
+        assert!(answer.starts_with("NO ") && answer.len() > 4, "{line:?}: {answer:?}");
     }
     let long = program.call(&"x".repeat(400));
     assert!(long.starts_with("NO"), "{long:?}");
@@ -49,13 +49,13 @@
 }
 
 #[test]
-fn callers_that_say_nothing_hold_up_no_other() {
-    let (_node, _discovery, program) = one();
+fn silent_callers_do_not_delay_others() {
+    let (_node, _discovery, program) = start_one_backend();
     let address = program.mgmt.expect("mgmt");
     let silent: Vec<TcpStream> =
         (0..40).map(|_| TcpStream::connect(address).expect("a connection")).collect();
-    let mut half = TcpStream::connect(address).expect("a connection");
-    half.write_all(b"disable-ser").expect("sent");
+    let mut incomplete = TcpStream::connect(address).expect("a connection");
+    incomplete.write_all(b"disable-ser").expect("sent");
     thread::sleep(Duration::from_millis(900));
     let begun = Instant::now();
     assert!(program.call("ready").starts_with("YES"));
@@ -64,14 +64,14 @@
 }
 
 #[test]
-fn a_disabled_brick_gets_nothing_new_until_it_is_enabled() {
-    let (node, _discovery, program) = one();
+fn a_disabled_backend_gets_no_new_request_until_it_is_enabled() {
+    let (node, _discovery, program) = start_one_backend();
     assert!(program.call("disable-server s-1").starts_with("YES"));
     assert!(program.call("disable-server s-1").starts_with("YES"));
     assert!(program.call("show-stat").contains("app_out_of_rotation 1\n"));
     let runs = node.runs("GET");
-    let refused = status(&program, &get("1", 600));
-    assert!(refused.contains("503"), "{refused}");
+    let rejected = status(&program, &get("1", 600));
+    assert!(rejected.contains("503"), "{rejected}");
     assert_eq!(node.runs("GET"), runs);
     assert!(program.call("enable-server s-1").starts_with("YES"));
     assert!(program.call("enable-server s-1").starts_with("NO"));
@@ -80,20 +80,20 @@
 }
 
 #[test]
-fn a_drained_head_says_no_to_probes_until_it_resumes() {
-    let (_node, _discovery, program) = one();
-    let probe = "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n";
-    assert!(status(&program, probe).contains("200"));
+fn a_drained_head_fails_health_checks_until_it_resumes() {
+    let (_node, _discovery, program) = start_one_backend();
+    let health_check = "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n";
+    assert!(status(&program, health_check).contains("200"));
     assert!(program.call("drain").starts_with("YES"));
-    assert!(status(&program, probe).contains("503"));
+    assert!(status(&program, health_check).contains("503"));
     let (head, _) = program.ask(&get("1", 2000));
     assert!(head.contains("200") && head.to_ascii_lowercase().contains("connection: close"), "{head}");
     assert!(program.call("resume").starts_with("YES"));
-    assert!(status(&program, probe).contains("200"));
+    assert!(status(&program, health_check).contains("200"));
 }
 
 #[test]
-fn bans_go_over_to_the_next_process_of_the_head_and_back() {
+fn overrides_are_handed_over_to_the_next_process_of_the_head_and_back() {
     let node = StandIn::start("s-1", 3, Duration::ZERO, Fault::None);
     let discovery = Discovery::start(vec![node.entry("ready")]);
     let mut settings = config(discovery.address);
@@ -109,12 +109,12 @@
     assert!(new.call("show-stat").contains("app_out_of_rotation 1\n"));
     assert!(status(&new, &get("1", 600)).contains("503"));
     assert_eq!(node.runs("GET"), 0);
-    // The call back may come to the new process; the old one hears of it through the file.
+    // The backend may be enabled through the new process; the old one learns of it through the file.
     assert!(new.call("enable-server s-1").starts_with("YES"));
     thread::sleep(Duration::from_millis(300));
     assert!(old.call("show-stat").contains("app_out_of_rotation 0\n"));
     assert!(status(&old, &get("1", 2000)).contains("200"));
-    // A spoilt file is named in the log, and the bans held stand.
+    // A corrupt file is named in the log, and the overrides in force stay.
     assert!(new.call("disable-server s-1").starts_with("YES"));
     thread::sleep(Duration::from_millis(300));
     std::fs::write(format!("{shared}/sedgerun-bans"), "sedgerun bans 1\ns-1\n").expect("a file");
