--- a/crates/sedgerun/src/clock.rs
+++ b/crates/sedgerun/src/clock.rs
@@ -7,23 +7,24 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     anchor: Instant,
-    unix: Micros,
+    /// The Unix time of the anchor.
+    anchor_time: Micros,
 }
 
 impl Clock {
-    /// Anchors the clock now.
+    /// Anchors the clock now. A system whose clock stands before 1970 counts from there.
     pub fn start() -> Clock {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or(Duration::ZERO);
-        Clock { anchor: Instant::now(), unix: unix.as_micros() as Micros }
+        let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or(Duration::ZERO);
+        Clock { anchor: Instant::now(), anchor_time: since_epoch.as_micros() as Micros }
     }
 
-    /// The time now.
+    /// The time now, in microseconds since 1970.
     pub fn now(&self) -> Micros {
-        self.unix + self.anchor.elapsed().as_micros() as Micros
+        self.anchor_time + self.anchor.elapsed().as_micros() as Micros
     }
 
-    /// The instant of a time; times before the anchor are the anchor.
+    /// The instant of a time in microseconds since 1970; times before the anchor are the anchor.
     pub fn instant(&self, at: Micros) -> Instant {
-        self.anchor + Duration::from_micros(at.saturating_sub(self.unix))
+        self.anchor + Duration::from_micros(at.saturating_sub(self.anchor_time))
     }
 }
--- a/crates/sedgerun/src/descriptors.rs
+++ b/crates/sedgerun/src/descriptors.rs
@@ -1,56 +1,62 @@
-//! The descriptors of the program: what connections hold of those that it may, and what is held back for discovery.
+//! The file descriptors of the program: what connections hold of those that it may, and what is reserved for
+//! discovery.
+//!
+//! [`Descriptors`] only counts. Whoever opens a connection asks [`Descriptors::left`] first, and keeps a
+//! [`DescriptorPermit`] for as long as the connection is open.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Descriptors that nobody but discovery, operators and the program itself may take: a call and the one that it
-/// takes over from, a connection accepted to be closed, some of operators, a file that is read.
-const HELD_BACK: usize = 10;
+/// Descriptors that only discovery, operators and the program itself may use: a poll and the one that it takes over
+/// from, a connection accepted to be closed, some of operators, a file that is read.
+const RESERVED: usize = 10;
 
-/// A ledger of descriptors, shared by all that open connections.
+/// The count of descriptors, shared by all that open connections.
 #[derive(Clone, Debug)]
-pub struct Descriptors(Rc<Ledger>);
+pub struct Descriptors(Rc<Counts>);
 
 #[derive(Debug)]
-struct Ledger {
-    most: usize,
-    /// What the program holds beside connections.
-    other: Cell<usize>,
-    held: Cell<usize>,
+struct Counts {
+    /// The most that the program may have open.
+    limit: usize,
+    /// What the program has open beside connections, as last counted.
+    others: Cell<usize>,
+    /// What connections have open.
+    permits: Cell<usize>,
 }
 
-/// A descriptor that is held, until it is dropped.
+/// A descriptor that is in use, until it is dropped.
 #[derive(Debug)]
 pub struct DescriptorPermit(Descriptors);
 
 impl Descriptors {
-    /// A ledger of so many.
-    pub fn new(most: usize) -> Descriptors {
-        Descriptors(Rc::new(Ledger { most, other: Cell::new(0), held: Cell::new(0) }))
+    /// A count with a limit, none of which is in use.
+    pub fn new(limit: usize) -> Descriptors {
+        Descriptors(Rc::new(Counts { limit, others: Cell::new(0), permits: Cell::new(0) }))
     }
 
-    /// Takes note of what the program holds now beside connections.
+    /// Counts what the program has open now beside connections.
     pub fn count_others(&self) {
-        let all = std::fs::read_dir("/proc/self/fd").map_or(0, Iterator::count);
-        self.0.other.set(all.saturating_sub(self.0.held.get()));
+        let open = std::fs::read_dir("/proc/self/fd").map_or(0, Iterator::count);
+        self.0.others.set(open.saturating_sub(self.0.permits.get()));
     }
 
-    /// Those that connections of clients and boxes may still take.
+    /// The number that connections of clients and backends may still use.
     pub fn left(&self) -> usize {
-        let taken = HELD_BACK + self.0.other.get() + self.0.held.get();
-        self.0.most.saturating_sub(taken)
+        let in_use = RESERVED + self.0.others.get() + self.0.permits.get();
+        self.0.limit.saturating_sub(in_use)
     }
 
-    /// Takes one, whatever is left: for discovery, and for what has one already.
+    /// Counts one more, whatever is left: for discovery, and for a connection that is open already.
     pub fn take(&self) -> DescriptorPermit {
-        self.0.held.set(self.0.held.get() + 1);
+        self.0.permits.set(self.0.permits.get() + 1);
         DescriptorPermit(self.clone())
     }
 }
 
 impl Drop for DescriptorPermit {
     fn drop(&mut self) {
-        let ledger = &self.0.0;
-        ledger.held.set(ledger.held.get().saturating_sub(1));
+        let permits = &self.0.0.permits;
+        permits.set(permits.get().saturating_sub(1));
     }
 }
--- a/crates/sedgerun/src/replicated_state.rs
+++ b/crates/sedgerun/src/replicated_state.rs
@@ -1,17 +1,21 @@
-//! Applies the replicated state to this head: tenants and their exports to the registry, bans to the dispatch.
+//! Applies the replicated state to this head: tenants and their exports to the registry, overrides of backends to
+//! the dispatch service.
+//!
+//! The replicated state is owned by `sedgerun-cluster`, which also notifies of its versions; what is remembered here
+//! is only what this head has in force.
 
 use crate::config::Config;
 use crate::dispatch_service::DispatchService;
 use crate::tenants::{Export, TenantRegistry};
 use sedgerun_cluster::ClusterHandle;
 use sedgerun_config::Pairs;
-use sedgerun_replication::view::{Fields, Tenant};
+use sedgerun_replication::view::{Fields, Tenant, View};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Brings what the fleet holds to this head's front for as long as it is polled. It begins with what the
-/// store held at the start, whether or not a majority is there.
+/// Brings the replicated state into force at this head for as long as it is polled. It begins with what the store
+/// held at the start, whether or not a majority of voters is there.
 pub async fn apply_replicated_state(
     cluster: Rc<ClusterHandle>,
     config: Rc<Config>,
@@ -19,34 +23,16 @@
     dispatch: Rc<DispatchService>,
 ) {
     let mut versions = cluster.versions();
-    let mut held: BTreeMap<String, u64> = BTreeMap::new();
-    let mut banned: BTreeMap<String, u64> = BTreeMap::new();
+    let mut in_force = InForce::default();
     loop {
         versions.borrow_and_update();
-        let (version, changed, gone, bans) = cluster.read(|view| {
-            let differs = |(name, tenant): &(&String, &Tenant)| held.get(*name) != Some(&tenant.version);
-            let changed = view.tenants.iter().filter(differs);
-            let changed: Vec<(String, Tenant)> =
-                changed.map(|(name, tenant)| (name.clone(), tenant.clone())).collect();
-            let gone = held.keys().filter(|name| !view.tenants.contains_key(*name));
-            let bans = (view.bans != banned).then(|| view.bans.clone());
-            (view.version, changed, gone.cloned().collect::<Vec<String>>(), bans)
-        });
-        if let Some(bans) = bans {
+        let changes = cluster.read(|view| in_force.changes_to(view));
+        let version = changes.version;
+        if let Some(bans) = &changes.bans {
             dispatch.set_disabled_by_cluster(bans.keys());
-            banned = bans;
-        }
-        {
-            let mut registry = tenants.borrow_mut();
-            for name in gone.iter().chain(changed.iter().map(|(name, _)| name)) {
-                registry.remove_tenant(name);
-                held.remove(name);
-            }
-            for (name, tenant) in changed {
-                put(&mut registry, &config, &name, &tenant);
-                held.insert(name, tenant.version);
-            }
         }
+        changes.apply_to_registry(&mut tenants.borrow_mut(), &config);
+        in_force.note(changes);
         cluster.set_in_force(version);
         if versions.changed().await.is_err() {
             return;
@@ -54,19 +40,76 @@
     }
 }
 
-/// Puts a tenant in place as far as this head's settings know what its exports name.
-fn put(registry: &mut TenantRegistry, config: &Config, name: &str, tenant: &Tenant) {
+/// What this head has in force of the replicated state.
+#[derive(Default)]
+struct InForce {
+    /// The version of each tenant, by its name.
+    tenants: BTreeMap<String, u64>,
+    /// The version of each override, by its backend's name.
+    bans: BTreeMap<String, u64>,
+}
+
+/// What differs between a version of the replicated state and what is in force.
+struct Changes {
+    version: u64,
+    /// Tenants that are new or differ, by their names.
+    changed_tenants: Vec<(String, Tenant)>,
+    removed_tenants: Vec<String>,
+    /// All overrides, if any differs.
+    bans: Option<BTreeMap<String, u64>>,
+}
+
+impl InForce {
+    fn changes_to(&self, view: &View) -> Changes {
+        let has_changed = |name: &String, tenant: &Tenant| self.tenants.get(name) != Some(&tenant.version);
+        let changed_tenants = view.tenants.iter().filter(|(name, tenant)| has_changed(name, tenant));
+        let removed_tenants = self.tenants.keys().filter(|name| !view.tenants.contains_key(*name));
+        Changes {
+            version: view.version,
+            changed_tenants: changed_tenants.map(|(name, tenant)| (name.clone(), tenant.clone())).collect(),
+            removed_tenants: removed_tenants.cloned().collect(),
+            bans: (view.bans != self.bans).then(|| view.bans.clone()),
+        }
+    }
+
+    fn note(&mut self, changes: Changes) {
+        for name in &changes.removed_tenants {
+            self.tenants.remove(name);
+        }
+        for (name, tenant) in changes.changed_tenants {
+            self.tenants.insert(name, tenant.version);
+        }
+        if let Some(bans) = changes.bans {
+            self.bans = bans;
+        }
+    }
+}
+
+impl Changes {
+    fn apply_to_registry(&self, registry: &mut TenantRegistry, config: &Config) {
+        let changed_names = self.changed_tenants.iter().map(|(name, _)| name);
+        for name in self.removed_tenants.iter().chain(changed_names) {
+            registry.remove_tenant(name);
+        }
+        for (name, tenant) in &self.changed_tenants {
+            add_tenant(registry, config, name, tenant);
+        }
+    }
+}
+
+/// Adds a tenant as far as this head's settings know what its exports name.
+fn add_tenant(registry: &mut TenantRegistry, config: &Config, name: &str, tenant: &Tenant) {
     registry.open(name);
-    for (export, fields) in &tenant.exports {
-        let read = read_export(config, name, export, fields);
-        let added = read.and_then(|read| registry.add(name, read));
-        if let Err(what) = added {
-            tracing::warn!("fleet: tenant {name}, export {export}: {what}; not served by this head");
+    for (export_name, fields) in &tenant.exports {
+        let export = read_export(config, name, export_name, fields);
+        if let Err(error) = export.and_then(|export| registry.add(name, export)) {
+            tracing::warn!("fleet: tenant {name}, export {export_name}: {error}; not served by this head");
         }
     }
 }
 
-/// Reads an export in the operator's file's own terms against this head's settings.
+/// Reads an export, in the terms of the operator's file, against this head's settings. The error names every
+/// field at fault.
 pub fn read_export(config: &Config, tenant: &str, export: &str, fields: &Fields) -> Result<Export, String> {
     let mut pairs = fields.clone();
     pairs.insert("tenant".into(), tenant.to_owned());
--- a/crates/sedgerun/src/request_ids.rs
+++ b/crates/sedgerun/src/request_ids.rs
@@ -1,33 +1,43 @@
-//! The ids of requests that are open: an id that comes again is not passed on.
+//! Guards against duplicate requests: the ids of requests that are open, and of those that were a moment ago.
+//!
+//! A request whose id comes again is not forwarded: at a backend it would be a second copy of the first one.
 
 use std::cell::RefCell;
 use std::collections::{HashSet, VecDeque};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// The ids of requests that are open, and of those that were a moment ago. An id that comes again is not
-/// passed on: at a box it would be a second copy of the first one's request.
+/// How long ids are remembered after their requests have ended.
+const RETENTION: Duration = Duration::from_secs(5);
+/// How many ids are remembered after their requests have ended, at the most.
+const MAX_RECENT: usize = 16_384;
+
+/// The ids that may not come again.
 #[derive(Debug, Default)]
 pub struct RequestIds {
-    held: RefCell<HashSet<u64>>,
-    past: RefCell<VecDeque<(Instant, u64)>>,
+    /// The ids of open and of recent requests.
+    known: RefCell<HashSet<u64>>,
+    /// The ids of requests that have ended, and when, in that order.
+    recent: RefCell<VecDeque<(Instant, u64)>>,
 }
 
-/// How long, and how many at the most, ids are remembered behind their requests.
-const PAST_TIME: Duration = Duration::from_secs(5);
-const MOST_PAST: usize = 16_384;
-
 impl RequestIds {
-    /// Holds an id, unless it is held or was a moment ago.
+    /// Registers an id; `None` where its request is open or was a moment ago.
     pub fn hold(self: &Rc<Self>, id: u64) -> Option<RequestIdGuard> {
-        let mut held = self.held.borrow_mut();
-        let mut past = self.past.borrow_mut();
-        while past.len() > MOST_PAST || past.front().is_some_and(|(at, _)| at.elapsed() > PAST_TIME) {
-            if let Some((_, id)) = past.pop_front() {
-                held.remove(&id);
+        self.forget_old();
+        let is_new = self.known.borrow_mut().insert(id);
+        is_new.then(|| RequestIdGuard { ids: Rc::clone(self), id })
+    }
+
+    fn forget_old(&self) {
+        let mut recent = self.recent.borrow_mut();
+        while let Some((ended_at, id)) = recent.front().copied() {
+            if recent.len() <= MAX_RECENT && ended_at.elapsed() <= RETENTION {
+                return;
             }
+            recent.pop_front();
+            self.known.borrow_mut().remove(&id);
         }
-        held.insert(id).then(|| RequestIdGuard { ids: Rc::clone(self), id })
     }
 }
 
@@ -40,6 +50,6 @@
 
 impl Drop for RequestIdGuard {
     fn drop(&mut self) {
-        self.ids.past.borrow_mut().push_back((Instant::now(), self.id));
+        self.ids.recent.borrow_mut().push_back((Instant::now(), self.id));
     }
 }
--- a/crates/sedgerun/src/resource_limits.rs
+++ b/crates/sedgerun/src/resource_limits.rs
@@ -2,32 +2,32 @@
 
 use crate::discovery::list::ListBounds;
 
-/// The least bytes of a list that every head holds.
-const LEAST_LIST_BYTES: usize = 1 << 20;
-/// Bytes of a list's text for each MiB of memory: a sixteenth. While it is read, the text stands in memory twice.
+/// The least bytes of an endpoint list that every head has memory for.
+const MIN_LIST_BYTES: usize = 1 << 20;
+/// Bytes of a list's text for each MiB of memory: a sixteenth. While it is read, the text is in memory twice.
 const LIST_BYTES_PER_MIB: usize = 1 << 16;
 /// Bytes of text to an entry, below which the bound on entries is met before the one on bytes.
 const LIST_BYTES_PER_ENTRY: usize = 256;
 
-/// ResourceLimits that follow from the limits on memory and descriptors.
+/// The bounds that follow from the limits on memory and descriptors.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResourceLimits {
     /// HTTP clients past which idle ones are closed. Clients have a third of the descriptors for requests; were
-    /// it full of connections that stay, none would be left for those that ask.
+    /// it full of connections that stay, none would be left for those that send a request.
     pub clients: usize,
-    /// The most HTTP clients at all; boxes and discovery keep the rest of the descriptors.
+    /// The most HTTP clients at all; backends and discovery keep the rest of the descriptors.
     pub most_clients: usize,
-    /// Descriptors that a new client leaves for boxes.
+    /// Descriptors that a new client leaves for backends.
     pub boxes: usize,
-    /// Requests that memory has room for, each with a full body on either side.
+    /// Requests that memory suffices for, each with a full body on either side.
     pub open: usize,
-    /// Bytes that bodies of answers may take up on their way, all together.
+    /// Bytes that bodies of responses may take up on their way, all together.
     pub answers: usize,
-    /// The largest body of an answer.
+    /// The largest body of a response, in bytes.
     pub answer: usize,
     /// Bytes that bodies of requests over 64 KiB may take up, all together: an eighth of memory.
     pub bodies: usize,
-    /// The largest list of backends.
+    /// The largest endpoint list.
     pub list: ListBounds,
     /// The most 9P clients.
     pub ninep_clients: usize,
@@ -38,12 +38,12 @@
 }
 
 impl ResourceLimits {
-    /// The bounds of a head that may hold so many descriptors and so many MiB.
+    /// The bounds of a head that may have so many descriptors open and use so many MiB.
     pub fn new(sockets: usize, memory_mb: usize) -> ResourceLimits {
         let clients = (sockets / 6).max(4);
         // A client that sends as fast as it can costs up to 128 KiB before it is cut off.
         let most_clients = (sockets * 5 / 8).min(5 * memory_mb).max(sockets / 3);
-        let list_bytes = (memory_mb * LIST_BYTES_PER_MIB).max(LEAST_LIST_BYTES);
+        let list_bytes = (memory_mb * LIST_BYTES_PER_MIB).max(MIN_LIST_BYTES);
         ResourceLimits {
             clients,
             most_clients,
--- a/crates/sedgerun/src/vrrp.rs
+++ b/crates/sedgerun/src/vrrp.rs
@@ -1,4 +1,7 @@
-//! Carries VRRP over UDP: between known routers, one datagram an advertisement.
+//! Runs a virtual router of VRRP version 3 over UDP, between known peers: one datagram an advertisement.
+//!
+//! The protocol is `sedgerun-vrrp`, without I/O and without a clock; [`VrrpRunner`] owns the socket, feeds it events
+//! and carries its actions out. Who serves the virtual addresses is not decided here.
 
 use crate::clock::Clock;
 use sedgerun_vrrp::{Action, Advertisement, Event, Machine, Router, State, packet};
@@ -9,8 +12,10 @@
 use tokio::net::UdpSocket;
 use tokio::sync::Notify;
 
-/// The longest advertisement: 255 addresses.
-const MOST_BYTES: usize = 8 + 4 * 255;
+/// The longest advertisement: its header and 255 addresses.
+const MAX_ADVERTISEMENT_BYTES: usize = 8 + 4 * 255;
+/// Time between ticks of a router that waits for none.
+const DEFAULT_TICK: Duration = Duration::from_secs(1);
 
 /// A virtual router on a socket.
 pub struct VrrpRunner {
@@ -19,10 +24,10 @@
     socket: UdpSocket,
     clock: Clock,
     state: Cell<State>,
-    /// Told when the state has changed.
+    /// Notified when the state has changed.
     pub changed: Notify,
-    stopping: Notify,
-    stopped: Cell<bool>,
+    stop_requested: Notify,
+    has_stopped: Cell<bool>,
 }
 
 impl VrrpRunner {
@@ -34,63 +39,69 @@
         clock: Clock,
     ) -> Rc<VrrpRunner> {
         router.own = socket.local_addr().unwrap_or(router.own);
-        let (state, changed, stopping) = (Cell::new(State::Initialize), Notify::new(), Notify::new());
         Rc::new(VrrpRunner {
             router,
             peers,
             socket,
             clock,
-            state,
-            changed,
-            stopping,
-            stopped: Cell::new(false),
+            state: Cell::new(State::Initialize),
+            changed: Notify::new(),
+            stop_requested: Notify::new(),
+            has_stopped: Cell::new(false),
         })
     }
 
-    /// The state.
+    /// The state of the router.
     pub fn state(&self) -> State {
         self.state.get()
     }
 
-    /// Stops taking part: an active router says so to the others.
+    /// Stops taking part: an active router notifies its peers.
     pub fn stop(&self) {
-        self.stopping.notify_one();
+        self.stop_requested.notify_one();
     }
 
     /// Whether it has stopped.
     pub fn stopped(&self) -> bool {
-        self.stopped.get()
+        self.has_stopped.get()
     }
 
     /// Takes part until it is stopped.
     pub async fn run(self: Rc<Self>) {
         let mut machine = self.step(Machine::default(), &Event::Startup).await;
-        let mut buffer = [0; MOST_BYTES + 1];
+        let mut buffer = [0; MAX_ADVERTISEMENT_BYTES + 1];
         while machine.state != State::Initialize {
-            let timer = machine.timer.map_or(Duration::from_secs(1), |at| {
-                Duration::from_micros(at.saturating_sub(self.clock.now()))
-            });
-            let event = tokio::select! {
-                () = self.stopping.notified() => Event::Shutdown,
-                () = tokio::time::sleep(timer) => Event::Tick,
-                received = self.socket.recv_from(&mut buffer) => match received {
-                    Ok((length, from)) => match self.accept(&buffer[..length], from) {
-                        Some(heard) => Event::Received(heard, from),
-                        None => continue,
-                    },
-                    // A peer whose port is closed; its silence is what counts.
-                    Err(_) => Event::Tick,
-                },
-            };
-            machine = self.step(machine, &event).await;
+            if let Some(event) = self.next_event(&machine, &mut buffer).await {
+                machine = self.step(machine, &event).await;
+            }
+        }
+        self.has_stopped.set(true);
+    }
+
+    /// Waits for the next event; `None` for a datagram that is to be ignored.
+    async fn next_event(&self, machine: &Machine, buffer: &mut [u8]) -> Option<Event> {
+        let until_timer = machine
+            .timer
+            .map_or(DEFAULT_TICK, |at| Duration::from_micros(at.saturating_sub(self.clock.now())));
+        tokio::select! {
+            () = self.stop_requested.notified() => Some(Event::Shutdown),
+            () = tokio::time::sleep(until_timer) => Some(Event::Tick),
+            received = self.socket.recv_from(buffer) => match received {
+                Ok((length, from)) => {
+                    let advertisement = self.accept(&buffer[..length], from)?;
+                    Some(Event::Received(advertisement, from))
+                }
+                // A peer whose port is closed; its silence is what counts.
+                Err(_) => Some(Event::Tick),
+            },
         }
-        self.stopped.set(true);
     }
 
     /// An advertisement of this virtual router from one of its peers.
-    fn accept(&self, bytes: &[u8], from: SocketAddr) -> Option<Advertisement> {
-        let heard = packet::decode(bytes)?;
-        (self.peers.contains(&from) && heard.id == self.router.id).then_some(heard)
+    fn accept(&self, datagram: &[u8], from: SocketAddr) -> Option<Advertisement> {
+        let advertisement = packet::decode(datagram)?;
+        let is_ours = self.peers.contains(&from) && advertisement.id == self.router.id;
+        is_ours.then_some(advertisement)
     }
 
     async fn step(&self, machine: Machine, event: &Event) -> Machine {
@@ -110,10 +121,11 @@
 
     async fn advertise(&self, priority: u8) {
         let Router { id, interval, ref addresses, .. } = self.router;
-        let bytes = packet::encode(&Advertisement { id, priority, interval, addresses: addresses.clone() });
+        let advertisement = Advertisement { id, priority, interval, addresses: addresses.clone() };
+        let datagram = packet::encode(&advertisement);
         for peer in &self.peers {
             // A lost advertisement is the protocol's own business.
-            let _ = self.socket.send_to(&bytes, peer).await;
+            let _ = self.socket.send_to(&datagram, peer).await;
         }
     }
 }
