--- a/crates/sedgerun/src/lib.rs
+++ b/crates/sedgerun/src/lib.rs
@@ -1,8 +1,19 @@
 //! The program of sedgerun: a storage gateway head that keeps volumes to their reservations, shares and limits.
 //!
-//! [`frontend`] takes requests, [`backend`] makes attempts, [`discovery`] watches the endpoint list, [`dispatch_service`]
-//! carries out what the dispatcher of `sedgerun-dispatch` wants, and [`head`] runs them all. [`config`] and [`operator`]
-//! read the settings, [`logging`] writes the log.
+//! The decisions are made by `sedgerun-policy` and the life of a request is `sedgerun-dispatch`; both are without
+//! I/O. This crate puts them on sockets, the clock, signals and files:
+//!
+//! - [`frontend`] takes requests over HTTP and 9P, [`backend`] makes their attempts, and [`dispatch_service`], between
+//!   them, carries out what the dispatcher wants.
+//! - [`discovery`] watches the endpoint list; [`replicated_state`] applies what the cluster has agreed on.
+//! - [`management`] and [`admin`] are operators' ways in; [`metrics`] and [`logging`] are what they read.
+//! - [`config`], [`operator`] and [`tenants`] read the settings; [`resource_limits`] derives the bounds of each part
+//!   from the limits on memory and descriptors, and [`descriptors`] counts the latter.
+//! - [`vrrp`] runs a virtual router, [`request_ids`] guards against duplicates, [`clock`] is the program's one clock.
+//! - [`head`] runs them all from start to exit, and [`command`] is the command line.
+//!
+//! One thread runs all tasks of this crate, so that what they share is `Rc` and cells; the log's writer and the cluster
+//! have threads of their own.
 
 pub mod admin;
 pub mod backend;
--- a/crates/sedgerun/tests/gone.rs
+++ b/crates/sedgerun/tests/disconnected_clients.rs
@@ -1,5 +1,5 @@
-//! Clients that close, reset or call off while their requests wait: nothing begins for them any more, be it a first
-//! attempt, a further one, or one whose connection is still to come up. And boxes that drain in that moment.
+//! Clients that close, reset or cancel while their requests wait: no attempt begins for them any more, be it a first
+//! one, a retry, or one whose connection is still being made. And backends that drain in that moment.
 
 mod standin;
 
@@ -13,7 +13,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The way to a box, which can be shut: connections are refused then, and those that were there are broken.
+/// A proxy in front of a backend, which can be shut: connections are refused then, and open ones are broken.
 #[derive(Clone)]
 struct Gate {
     address: SocketAddr,
@@ -74,24 +74,24 @@
     }
 }
 
-/// How a client leaves.
+/// How a client disconnects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Leave {
+enum Disconnect {
     Close,
     Reset,
-    /// Behind it lies more than a head reads ahead.
-    CloseBehindMore,
-    ResetBehindMore,
+    /// After sending more than a head reads ahead.
+    CloseAfterMore,
+    ResetAfterMore,
 }
 
-fn leave(mut stream: TcpStream, how: Leave) {
-    if matches!(how, Leave::CloseBehindMore | Leave::ResetBehindMore) {
+fn disconnect(mut stream: TcpStream, how: Disconnect) {
+    if matches!(how, Disconnect::CloseAfterMore | Disconnect::ResetAfterMore) {
         let more: String = (0..4000).map(|_| get("a0", 1000)).collect();
         stream.set_write_timeout(Some(Duration::from_millis(300))).expect("a timeout");
         let _ = stream.write_all(more.as_bytes());
         thread::sleep(Duration::from_millis(20));
     }
-    if matches!(how, Leave::Reset | Leave::ResetBehindMore) {
+    if matches!(how, Disconnect::Reset | Disconnect::ResetAfterMore) {
         reset(&stream);
     }
 }
@@ -102,7 +102,7 @@
     socket.set_linger(Some(Duration::ZERO)).expect("a linger");
 }
 
-/// A long read, which waits for 1.2 s before it is late.
+/// A long read, which may be queued for 1.2 s before it is overdue.
 fn bulk() -> String {
     get("a0", 4000).replace("GET /read", "GET /bulk")
 }
@@ -114,8 +114,8 @@
     stream
 }
 
-/// A head whose one box stands behind a gate.
-fn gated() -> (Gate, StandIn, Program) {
+/// A head whose one backend is behind a gate.
+fn start_gated() -> (Gate, StandIn, Program) {
     let node = StandIn::start("s-1", 3, Duration::ZERO, Fault::None);
     let gate = Gate::start(node.http);
     let mut entry = node.entry("ready");
@@ -126,18 +126,18 @@
     (gate, node, Program::start(&config, None))
 }
 
-/// The box refuses connections. The first request has three attempts behind it and waits for a trial, half a second
-/// later; the others wait for their first. All clients leave, and the box is back before the trial.
-fn leaves(how: Leave, clients: usize) {
-    let (gate, node, program) = gated();
+/// The backend refuses connections. The first request has had three attempts and waits for a trial, half a second
+/// later; the others wait for their first. All clients disconnect, and the backend is back before the trial.
+fn nothing_is_sent_after(how: Disconnect, clients: usize) {
+    let (gate, node, program) = start_gated();
     gate.shut();
     let streams: Vec<TcpStream> = (0..clients).map(|_| send(&program, &bulk())).collect();
     thread::sleep(Duration::from_millis(60));
-    streams.into_iter().for_each(|stream| leave(stream, how));
+    streams.into_iter().for_each(|stream| disconnect(stream, how));
     gate.open();
     thread::sleep(Duration::from_millis(1500));
-    assert_eq!(node.runs("GET"), 0, "{how:?}: sent on for a client that has gone");
-    // And the way is open.
+    assert_eq!(node.runs("GET"), 0, "{how:?}: forwarded for a client that has disconnected");
+    // And requests of other clients are served.
     let begun = Instant::now();
     while !program.ask(&bulk()).0.starts_with("HTTP/1.1 200") {
         assert!(begun.elapsed() < Duration::from_secs(5), "nobody is served");
@@ -146,37 +146,38 @@
 
 #[test]
 fn nothing_is_sent_for_a_client_that_closed() {
-    leaves(Leave::Close, 2);
+    nothing_is_sent_after(Disconnect::Close, 2);
 }
 
 #[test]
 fn nothing_is_sent_for_a_client_that_reset() {
-    leaves(Leave::Reset, 2);
+    nothing_is_sent_after(Disconnect::Reset, 2);
 }
 
 #[test]
-fn nothing_is_sent_for_a_client_that_closed_behind_bytes_nobody_reads() {
-    leaves(Leave::CloseBehindMore, 2);
+fn nothing_is_sent_for_a_client_that_closed_after_bytes_nobody_reads() {
+    nothing_is_sent_after(Disconnect::CloseAfterMore, 2);
 }
 
 #[test]
-fn nothing_is_sent_for_a_client_that_reset_behind_bytes_nobody_reads() {
-    leaves(Leave::ResetBehindMore, 2);
+fn nothing_is_sent_for_a_client_that_reset_after_bytes_nobody_reads() {
+    nothing_is_sent_after(Disconnect::ResetAfterMore, 2);
 }
 
 #[test]
-fn nothing_is_sent_for_a_burst_of_clients_that_left() {
-    leaves(Leave::Close, 40);
+fn nothing_is_sent_for_a_burst_of_clients_that_disconnected() {
+    nothing_is_sent_after(Disconnect::Close, 40);
 }
 
-/// A listener whose queue is full: connections to it come up only once those in front are taken, a second later.
-struct Late {
+/// A listener whose backlog is full: connections to it are made only once those before them are accepted, a second
+/// later.
+struct FullBacklog {
     listener: TcpListener,
     crowd: Vec<TcpStream>,
 }
 
-impl Late {
-    fn start() -> Late {
+impl FullBacklog {
+    fn start() -> FullBacklog {
         let socket =
             socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
         let any: SocketAddr = "127.0.0.1:0".parse().expect("an address");
@@ -184,92 +185,92 @@
         socket.listen(1).expect("a listener");
         let listener: TcpListener = socket.into();
         let address = listener.local_addr().expect("an address");
-        // The queue takes one more than it was told.
+        // The backlog takes one more than it was set to.
         let crowd = (0..2).map(|_| TcpStream::connect(address).expect("a connection")).collect();
-        Late { listener, crowd }
+        FullBacklog { listener, crowd }
     }
 
     fn address(&self) -> SocketAddr {
         self.listener.local_addr().expect("an address")
     }
 
-    /// Takes connections from now on; the bytes that come on them.
-    fn take(self) -> Arc<AtomicU64> {
-        let heard = Arc::new(AtomicU64::new(0));
-        let counted = Arc::clone(&heard);
+    /// Accepts connections from now on; the number of bytes that come on them.
+    fn accept_all(self) -> Arc<AtomicU64> {
+        let received = Arc::new(AtomicU64::new(0));
+        let counted = Arc::clone(&received);
         drop(self.crowd);
         thread::spawn(move || {
             for mut stream in self.listener.incoming().flatten() {
                 let counted = Arc::clone(&counted);
                 thread::spawn(move || {
-                    let mut room = [0; 4096];
-                    while let Ok(read @ 1..) = stream.read(&mut room) {
+                    let mut buffer = [0; 4096];
+                    while let Ok(read @ 1..) = stream.read(&mut buffer) {
                         counted.fetch_add(read as u64, Ordering::SeqCst);
                     }
                 });
             }
         });
-        heard
+        received
     }
 }
 
-/// A head with time for a connection that comes up late, and its list.
-fn patient(discovery: &Discovery, known: &[Value]) -> Program {
+/// A head with a long connect timeout, and its endpoint list.
+fn start_with_long_connect_timeout(discovery: &Discovery, known: &[Value]) -> Program {
     let mut config = config(discovery.address);
     config["settings"]["limits"]["dialTimeout"] = json!(3_000_000);
     config["known"] = json!({"generation": 1, "reset": true, "instances": known});
     Program::start(&config, None)
 }
 
-/// The connection to the box comes up a second after it was asked for; its client has left by then.
+/// The connection to the backend is made a second after it was begun; its client has disconnected by then.
 #[test]
-fn nothing_is_sent_on_a_connection_that_comes_up_behind_the_clients_end() {
-    let (late, node) = (Late::start(), StandIn::start("s-1", 3, Duration::ZERO, Fault::None));
+fn nothing_is_sent_on_a_connection_made_after_its_client_disconnected() {
+    let (backlog, node) = (FullBacklog::start(), StandIn::start("s-1", 3, Duration::ZERO, Fault::None));
     let mut entry = node.entry("ready");
-    entry["hostPort"] = json!(late.address().to_string());
+    entry["hostPort"] = json!(backlog.address().to_string());
     let discovery = Discovery::start(vec![entry.clone()]);
-    let program = patient(&discovery, &[entry]);
+    let program = start_with_long_connect_timeout(&discovery, &[entry]);
     let stream = send(&program, &bulk());
     thread::sleep(Duration::from_millis(200));
     drop(stream);
     thread::sleep(Duration::from_millis(150));
-    let heard = late.take();
+    let received = backlog.accept_all();
     thread::sleep(Duration::from_millis(2500));
-    assert_eq!(heard.load(Ordering::SeqCst), 0, "sent for a client that has gone");
+    assert_eq!(received.load(Ordering::SeqCst), 0, "sent for a client that has disconnected");
 }
 
-/// The same connection, and the box drains meanwhile: its request goes to another.
+/// The same connection, and the backend drains meanwhile: its request goes to another.
 #[test]
-fn nothing_is_sent_on_a_connection_that_comes_up_behind_a_drain() {
+fn nothing_is_sent_on_a_connection_made_after_its_backend_drained() {
     let start = |id| StandIn::start(id, 3, Duration::ZERO, Fault::None);
-    let (late, first, second) = (Late::start(), start("s-1"), start("s-2"));
+    let (backlog, first, second) = (FullBacklog::start(), start("s-1"), start("s-2"));
     let entry = |lifecycle| {
         let mut entry = first.entry(lifecycle);
-        entry["hostPort"] = json!(late.address().to_string());
+        entry["hostPort"] = json!(backlog.address().to_string());
         entry
     };
     let discovery = Discovery::start(vec![entry("ready")]);
-    let program = patient(&discovery, &[entry("ready")]);
+    let program = start_with_long_connect_timeout(&discovery, &[entry("ready")]);
     let stream = send(&program, &bulk());
     thread::sleep(Duration::from_millis(200));
     discovery.set(vec![entry("draining"), second.entry("ready")]);
     thread::sleep(Duration::from_millis(150));
-    let heard = late.take();
+    let received = backlog.accept_all();
     let (lines, _) = read_http(&mut BufReader::new(stream)).expect("an answer");
     assert!(lines[0].starts_with("HTTP/1.1 200"), "{lines:?}");
     assert_eq!(second.runs("GET"), 1);
     thread::sleep(Duration::from_millis(2000));
-    assert_eq!(heard.load(Ordering::SeqCst), 0, "sent to a box that drains");
+    assert_eq!(received.load(Ordering::SeqCst), 0, "sent to a backend that drains");
 }
 
-/// A client over 9P whose box stands behind a gate that has just been shut; what has run so far.
-fn gated_ninep() -> (Gate, StandIn, Program, Client) {
+/// A client over 9P whose backend is behind a gate that has just been shut; nothing is counted as run yet.
+fn start_gated_ninep() -> (Gate, StandIn, Program, Client) {
     let node = StandIn::start("s-1", 3, Duration::ZERO, Fault::None);
     let gate = Gate::start(node.ninep);
     let mut behind = node.clone();
     behind.ninep = gate.address;
     let discovery = Discovery::start(vec![]);
-    // The class of long reads, so that what waits is not late before the box is back.
+    // The class of long reads, so that what waits is not overdue before the backend is back.
     let files = operator(&[&behind]).replace("readClass=read", "readClass=bulk");
     let program = Program::start(&config(discovery.address), Some(&files));
     let client = Client::attach(program.ninep.expect("9P"), "press");
@@ -283,38 +284,38 @@
     Message::Twalk { fid: 0, newfid, names: vec!["proof".into()] }
 }
 
-fn nothing_ran(gate: &Gate, node: &StandIn) {
+fn assert_nothing_ran(gate: &Gate, node: &StandIn) {
     gate.open();
     thread::sleep(Duration::from_millis(1200));
     let runs = node.runs.lock().expect("runs").clone();
-    assert!(runs.is_empty(), "sent for a client that has gone: {runs:?}");
+    assert!(runs.is_empty(), "sent for a client that has disconnected: {runs:?}");
 }
 
 #[test]
 fn over_9p_nothing_is_sent_for_a_client_that_closed() {
-    let (gate, node, _program, mut client) = gated_ninep();
+    let (gate, node, _program, mut client) = start_gated_ninep();
     (1..4).for_each(|n| client.send(n, &walk(u32::from(n))));
     thread::sleep(Duration::from_millis(40));
     drop(client);
-    nothing_ran(&gate, &node);
+    assert_nothing_ran(&gate, &node);
 }
 
 /// As many operations as a client may have at once, and more that the head does not read.
 #[test]
-fn over_9p_nothing_is_sent_for_a_client_that_left_behind_bytes_nobody_reads() {
-    for how in [Leave::Close, Leave::Reset] {
-        let (gate, node, _program, mut client) = gated_ninep();
+fn over_9p_nothing_is_sent_for_a_client_that_disconnected_after_bytes_nobody_reads() {
+    for how in [Disconnect::Close, Disconnect::Reset] {
+        let (gate, node, _program, mut client) = start_gated_ninep();
         (1..400).for_each(|n| client.send(n, &walk(u32::from(n))));
         thread::sleep(Duration::from_millis(40));
-        leave(client.stream, how);
-        nothing_ran(&gate, &node);
+        disconnect(client.stream, how);
+        assert_nothing_ran(&gate, &node);
     }
 }
 
-/// Each operation is called off while it waits, and answered at once; its flush is answered behind it.
+/// Each operation is cancelled while it waits, and answered at once; its flush is answered after it.
 #[test]
 fn over_9p_nothing_is_sent_for_an_operation_that_was_flushed() {
-    let (gate, node, _program, mut client) = gated_ninep();
+    let (gate, node, _program, mut client) = start_gated_ninep();
     (1..4).for_each(|n| client.send(n, &walk(u32::from(n))));
     thread::sleep(Duration::from_millis(40));
     let begun = Instant::now();
@@ -323,12 +324,12 @@
     while flushed.len() < 3 {
         match receive(&mut client.stream).expect("a reply") {
             (tag, Message::Rflush) => flushed.push(tag - 10),
-            (tag, Message::Rerror { .. }) => assert!(!flushed.contains(&tag), "a reply behind its flush"),
+            (tag, Message::Rerror { .. }) => assert!(!flushed.contains(&tag), "a reply after its flush"),
             other => panic!("{other:?}"),
         }
     }
     assert!(begun.elapsed() < Duration::from_millis(300), "{:?}", begun.elapsed());
-    nothing_ran(&gate, &node);
+    assert_nothing_ran(&gate, &node);
     // The session goes on.
     let again = Instant::now();
     while !matches!(client.walk(9, &["proof"]), Message::Rwalk { .. }) {
--- a/crates/sedgerun/tests/closing.rs
+++ b/crates/sedgerun/tests/graceful_shutdown.rs
@@ -1,5 +1,5 @@
-//! Closes that cross something: a request on a resting connection as the head ends, an answer that a slow client is
-//! still taking, bytes that nobody reads.
+//! Connections that close while something is on its way: a request on an idle connection as the head ends, a response
+//! that a slow client is still reading, bytes that nobody reads.
 
 mod standin;
 
@@ -10,7 +10,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-fn one(sockets: usize) -> (StandIn, Program) {
+fn start_one_backend(sockets: usize) -> (StandIn, Program) {
     let node = StandIn::start("s-1", 3, Duration::ZERO, Fault::None);
     let entry = node.entry("ready");
     let discovery = Discovery::start(vec![entry.clone()]);
@@ -20,12 +20,12 @@
     (node, Program::start(&config, None))
 }
 
-/// The head is told to end, and would close its resting connections 3.3 s later. It stands still over that moment,
-/// in which requests come on them: each is answered, or was never read and never sent on.
+/// The head gets SIGTERM, and would close its idle connections 3.3 s later. It is stopped over that moment, in which
+/// requests come on them: each is answered, or was never read and never forwarded.
 #[test]
-fn a_request_that_crosses_the_close_of_its_resting_connection_is_answered_or_never_sent_on() {
-    let (node, program) = one(1024);
-    let mut resting: Vec<BufReader<TcpStream>> = (0..20)
+fn a_request_that_crosses_the_close_of_its_idle_connection_is_answered_or_never_forwarded() {
+    let (node, program) = start_one_backend(1024);
+    let mut idle: Vec<BufReader<TcpStream>> = (0..20)
         .map(|_| {
             let mut stream = TcpStream::connect(program.http).expect("a connection");
             stream.set_read_timeout(Some(Duration::from_secs(5))).expect("a timeout");
@@ -39,21 +39,21 @@
     program.terminate();
     thread::sleep(Duration::from_millis(3200));
     program.stand_still(true);
-    for reader in &mut resting {
+    for reader in &mut idle {
         reader.get_mut().write_all(write_request("a0", 1000).as_bytes()).expect("sent");
     }
     thread::sleep(Duration::from_millis(400));
     program.stand_still(false);
-    let answered = resting.iter_mut().filter_map(read_http);
+    let answered = idle.iter_mut().filter_map(read_http);
     let answered: Vec<_> = answered.map(|(lines, _)| lines[0].clone()).collect();
     let (success, said) = program.end();
     assert!(success, "{said}");
     assert_eq!(node.runs("GET"), before);
     let served = answered.iter().filter(|line| line.starts_with("HTTP/1.1 200")).count() as u64;
-    assert_eq!(node.runs("PUT"), served, "sent on and not answered: {answered:?}");
+    assert_eq!(node.runs("PUT"), served, "forwarded and not answered: {answered:?}");
 }
 
-/// A client that takes a large answer slowly, with next to no room of its own.
+/// A client that reads a large response slowly, with a very small receive buffer.
 fn slow_client(program: &Program) -> TcpStream {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
     socket.set_recv_buffer_size(4096).expect("a small buffer");
@@ -68,21 +68,21 @@
 
 const BODY: usize = 3 << 20;
 
-/// Takes an answer, a part every so often, and says how much of its body came.
-fn taken(mut stream: TcpStream) -> usize {
-    let mut room = vec![0; 256 * 1024];
-    let mut all = 0;
-    while let Ok(read @ 1..) = stream.read(&mut room) {
-        all += read;
+/// Reads a response, a part every so often; the bytes of its body that came.
+fn read_slowly(mut stream: TcpStream) -> usize {
+    let mut buffer = vec![0; 256 * 1024];
+    let mut total = 0;
+    while let Ok(read @ 1..) = stream.read(&mut buffer) {
+        total += read;
         thread::sleep(Duration::from_millis(5));
-        if all >= BODY {
+        if total >= BODY {
             break;
         }
     }
-    all
+    total
 }
 
-/// So many connections that idle ones have to give way, again and again.
+/// Connects so many clients that idle connections are closed for them, again and again.
 fn crowd(address: SocketAddr, time: Duration) {
     let (begun, mut crowd) = (Instant::now(), Vec::new());
     while begun.elapsed() < time {
@@ -92,29 +92,30 @@
 }
 
 #[test]
-fn an_answer_that_a_slow_client_is_taking_does_not_give_way_to_others() {
-    let (_node, program) = one(128);
+fn a_response_to_a_slow_client_is_not_cut_for_other_clients() {
+    let (_node, program) = start_one_backend(128);
     let stream = slow_client(&program);
     thread::sleep(Duration::from_millis(300));
     crowd(program.http, Duration::from_millis(1500));
-    assert!(taken(stream) >= BODY, "the answer was cut");
+    assert!(read_slowly(stream) >= BODY, "the response was cut");
 }
 
 #[test]
-fn an_answer_that_a_slow_client_is_taking_outlives_the_closing_of_idle_connections() {
-    let (_node, program) = one(1024);
+fn a_response_to_a_slow_client_outlives_the_closing_of_idle_connections() {
+    let (_node, program) = start_one_backend(1024);
     let stream = slow_client(&program);
     thread::sleep(Duration::from_millis(300));
     program.terminate();
     thread::sleep(Duration::from_millis(3600));
-    assert!(taken(stream) >= BODY, "the answer was cut");
+    assert!(read_slowly(stream) >= BODY, "the response was cut");
     assert!(program.end().0);
 }
 
-/// Behind the request lies more than anybody reads: the answers come whole, and the connection ends without a reset.
+/// More bytes follow the request than anybody reads: the responses are complete, and the connection ends without a
+/// reset.
 #[test]
-fn a_close_over_bytes_that_nobody_asked_for_cuts_no_answer() {
-    let (_node, program) = one(1024);
+fn closing_over_unread_bytes_cuts_no_response() {
+    let (_node, program) = start_one_backend(1024);
     for size in [0, 40_000, 400_000] {
         let mut stream = TcpStream::connect(program.http).expect("a connection");
         stream.set_read_timeout(Some(Duration::from_secs(5))).expect("a timeout");
--- a/crates/sedgerun/tests/vrrp.rs
+++ b/crates/sedgerun/tests/vrrp.rs
@@ -21,7 +21,7 @@
     }
 }
 
-fn heard(priority: u8, port: u16) -> Event {
+fn received(priority: u8, port: u16) -> Event {
     let addresses = router(priority, port).addresses;
     let advertisement = Advertisement { id: 7, priority, interval: 100, addresses };
     Event::Received(advertisement, SocketAddr::from(([127, 0, 0, 1], port)))
@@ -35,10 +35,10 @@
         let bytes: Vec<u8> =
             bytes.split(' ').map(|byte| u8::from_str_radix(byte, 16).expect("hexadecimal")).collect();
         let read = packet::decode(&bytes);
-        let said = read.as_ref().map_or("discard".to_owned(), |read| {
+        let meaning_read = read.as_ref().map_or("discard".to_owned(), |read| {
             format!("{} {} {} {}", read.id, read.priority, read.interval, read.addresses[0])
         });
-        assert_eq!(said, meaning, "{line}");
+        assert_eq!(meaning_read, meaning, "{line}");
         if let Some(read) = read {
             assert_eq!(packet::encode(&read), bytes, "{line}");
         }
@@ -53,7 +53,7 @@
     // Three intervals and the skew: (256 - 100) / 256 of one.
     let down = 300 * CENTISECOND + 156 * 100 * CENTISECOND / 256;
     assert_eq!(machine.timer, Some(down));
-    let (machine, _) = machine.step(&router, &heard(150, 2), 50);
+    let (machine, _) = machine.step(&router, &received(150, 2), 50);
     assert_eq!(machine.timer, Some(50 + down));
     assert_eq!(machine.step(&router, &Event::Tick, 49 + down).0, machine);
     let (machine, actions) = machine.step(&router, &Event::Tick, 50 + down);
@@ -68,24 +68,27 @@
     let router_100 = router(100, 5);
     let backup = start(&router_100);
     let (active, _) = backup.step(&router_100, &Event::Tick, backup.timer.expect("a timer"));
-    // A higher priority, or the same from a higher address, takes over; others are told who is active.
+    // A higher priority, or the same from a higher address, takes over; others are notified who is active.
     for (event, state) in [
-        (heard(101, 1), State::Backup),
-        (heard(100, 9), State::Backup),
-        (heard(100, 1), State::Active),
-        (heard(99, 9), State::Active),
-        (heard(0, 9), State::Active),
+        (received(101, 1), State::Backup),
+        (received(100, 9), State::Backup),
+        (received(100, 1), State::Active),
+        (received(99, 9), State::Active),
+        (received(0, 9), State::Active),
     ] {
         let (machine, actions) = active.step(&router_100, &event, 10);
         assert_eq!(machine.state, state, "{event:?}");
         assert_eq!(actions.contains(&Action::Advertise(100)), state == State::Active, "{event:?}");
     }
     // A lower active router is left alone only where preemption is off.
-    assert_eq!(backup.step(&router_100, &heard(50, 1), 10).0.timer, backup.timer);
-    let patient = Router { preempt: false, ..router_100.clone() };
-    assert!(backup.step(&patient, &heard(50, 1), 10).0.timer > backup.timer);
+    assert_eq!(backup.step(&router_100, &received(50, 1), 10).0.timer, backup.timer);
+    let without_preemption = Router { preempt: false, ..router_100.clone() };
+    assert!(backup.step(&without_preemption, &received(50, 1), 10).0.timer > backup.timer);
     // One that stops is followed after the skew alone.
-    assert_eq!(backup.step(&router_100, &heard(0, 1), 10).0.timer, Some(10 + 156 * 100 * CENTISECOND / 256));
+    assert_eq!(
+        backup.step(&router_100, &received(0, 1), 10).0.timer,
+        Some(10 + 156 * 100 * CENTISECOND / 256)
+    );
     let (stopped, actions) = active.step(&router_100, &Event::Shutdown, 10);
     assert_eq!((stopped, actions[0]), (Machine::default(), Action::Advertise(0)));
     let owner = Machine::default().step(&router(255, 1), &Event::Startup, 0);
