--- a/crates/sedgerun/src/frontend/http/connections.rs
+++ b/crates/sedgerun/src/frontend/http/connections.rs
@@ -38,7 +38,7 @@
         self.open.borrow_mut().insert(number, ServedConnection { state, task });
     }
 
-    /// Makes room for one more: closes the connection that has sent nothing for the longest, or else the one that has
+    /// Makes place for one more: closes the connection that has sent nothing for the longest, or else the one that has
     /// been idle for the longest. Whether one was closed, once its descriptor is free.
     pub(super) async fn give_way(&self) -> bool {
         let Some(task) = self.remove_longest_idle() else { return false };
--- /dev/null
+++ b/crates/sedgerun/src/frontend/ninep/accept.rs
@@ -0,0 +1,74 @@
+//! Accepts 9P clients, within the limits on clients and descriptors, and serves each in a task of its own.
+
+use super::session::Session;
+use super::{NinePFrontend, ServedSession};
+use crate::descriptors::DescriptorPermit;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::net::{TcpListener, TcpStream};
+
+/// Pause after a connection that could not be accepted.
+const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(5);
+
+/// A session's place among the open ones, and its descriptor, for as long as its task lives.
+struct OpenSession {
+    frontend: Rc<NinePFrontend>,
+    number: u64,
+    _descriptor: DescriptorPermit,
+}
+
+impl Drop for OpenSession {
+    fn drop(&mut self) {
+        let removed = self.frontend.sessions.borrow_mut().remove(&self.number);
+        if let Some(served) = removed {
+            self.frontend.reset(&served.session);
+        }
+    }
+}
+
+impl NinePFrontend {
+    /// Accepts clients for as long as the future is polled. `shared` marks those that came to an address
+    /// which may pass to another head.
+    pub async fn serve(self: Rc<Self>, listener: TcpListener, shared: bool) {
+        loop {
+            let stream = match listener.accept().await {
+                Ok((stream, _)) => stream,
+                Err(error) => {
+                    tracing::warn!("9P accept: {error}");
+                    tokio::time::sleep(ACCEPT_RETRY_PAUSE).await;
+                    continue;
+                }
+            };
+            if self.has_capacity_for_client() {
+                self.serve_session(stream, shared);
+            }
+        }
+    }
+
+    /// Whether one more client can be served; backends keep their descriptors.
+    fn has_capacity_for_client(&self) -> bool {
+        let descriptors_left = self.dispatch.backends().descriptors().left();
+        descriptors_left > self.config.resource_limits.boxes
+            && self.count() < self.config.operator.ninep_clients
+    }
+
+    /// Serves a client in a task of its own, which ends with the connection.
+    fn serve_session(self: &Rc<Self>, stream: TcpStream, shared: bool) {
+        let _ = stream.set_nodelay(true);
+        let (reading, mut writing) = stream.into_split();
+        let (session, mut replies) = Session::new(shared);
+        let session = Rc::new(session);
+        let number = self.next_session.replace(self.next_session.get() + 1);
+        let descriptor = self.dispatch.backends().descriptors().take();
+        let open_session = OpenSession { frontend: Rc::clone(self), number, _descriptor: descriptor };
+        let served = Rc::clone(&session);
+        let task = actix_rt::spawn(async move {
+            let frontend = Rc::clone(&open_session.frontend);
+            tokio::select! {
+                () = served.write_replies(&mut replies, &mut writing) => {}
+                () = frontend.read_messages(&served, reading) => {}
+            }
+        });
+        self.sessions.borrow_mut().insert(number, ServedSession { session, task: task.abort_handle() });
+    }
+}
--- /dev/null
+++ b/crates/sedgerun/src/frontend/ninep/open.rs
@@ -0,0 +1,56 @@
+//! Opening and creating files: `Topen` and `Tcreate`.
+
+use super::NinePFrontend;
+use super::error::NinePError;
+use super::in_flight::Operation;
+use super::session::Session;
+use crate::backend::ninep::Op;
+use sedgerun_protocol_9p::Message;
+
+impl NinePFrontend {
+    /// Opens a fid's file.
+    pub(super) async fn open(
+        &self,
+        operation: &Operation,
+        number: u32,
+        mode: u8,
+    ) -> Result<Message, NinePError> {
+        let session = &*operation.session;
+        let fid = session.fids.get(number)?;
+        fid.check_not_open()?;
+        let reply = self.submit(operation, &fid, Op::Open { mode }).await?;
+        let Message::Ropen { qid, iounit } = reply else { return Ok(reply) };
+        session.fids.update(number, |fid| fid.open_mode = Some(mode));
+        Ok(Message::Ropen { qid, iounit: io_unit(session, iounit) })
+    }
+
+    /// Creates a file in a fid's directory, and opens it: the fid then stands for the file.
+    pub(super) async fn create(
+        &self,
+        operation: &Operation,
+        number: u32,
+        name: String,
+        perm: u32,
+        mode: u8,
+    ) -> Result<Message, NinePError> {
+        let session = &*operation.session;
+        let directory = session.fids.get(number)?;
+        directory.check_not_open()?;
+        if name.is_empty() || name == "." || name == ".." || name.contains('/') {
+            return Err(NinePError::MalformedName);
+        }
+        let reply = self.submit(operation, &directory, Op::Create { name: name.clone(), perm, mode }).await?;
+        let Message::Rcreate { qid, iounit } = reply else { return Ok(reply) };
+        session.fids.update(number, |fid| {
+            fid.path.push(name);
+            fid.open_mode = Some(mode);
+        });
+        Ok(Message::Rcreate { qid, iounit: io_unit(session, iounit) })
+    }
+}
+
+/// The most data in one message that a client which opens a file is told: no more than its session's messages carry.
+fn io_unit(session: &Session, backend_io_unit: u32) -> u32 {
+    let most = session.most_data();
+    if backend_io_unit == 0 { most } else { backend_io_unit.min(most) }
+}
--- /dev/null
+++ b/crates/sedgerun/src/frontend/ninep/operations.rs
@@ -0,0 +1,139 @@
+//! What each message of a client does.
+
+use super::NinePFrontend;
+use super::error::NinePError;
+use super::fids::Fid;
+use super::in_flight::Operation;
+use crate::backend::ninep::Op;
+use bytes::Bytes;
+use sedgerun_protocol_9p::{MODE_ACCESS, MODE_REMOVE, MODE_WRITE, Message, NO_FID, stat_name};
+
+/// The mode of a fid that is open for both reading and writing.
+const MODE_READ_WRITE: u8 = 2;
+
+impl NinePFrontend {
+    /// Carries out a message: its reply.
+    pub(super) async fn perform(
+        &self,
+        operation: &Operation,
+        message: Message,
+    ) -> Result<Message, NinePError> {
+        let session = &*operation.session;
+        if !session.version_agreed() {
+            return Err(NinePError::NoVersion);
+        }
+        match message {
+            Message::Tauth { .. } => Err(NinePError::NoAuthentication),
+            Message::Tattach { fid, afid, uname, aname } => {
+                self.attach(operation, fid, afid, uname, &aname).await
+            }
+            Message::Tflush { oldtag } => Ok(self.flush(session, oldtag).await),
+            Message::Twalk { fid, newfid, names } => self.walk(operation, fid, newfid, names).await,
+            Message::Topen { fid, mode } => self.open(operation, fid, mode).await,
+            Message::Tcreate { fid, name, perm, mode } => self.create(operation, fid, name, perm, mode).await,
+            Message::Tread { fid, offset, count } => self.read(operation, fid, offset, count).await,
+            Message::Twrite { fid, offset, data } => self.write(operation, fid, offset, data).await,
+            Message::Tclunk { fid } => self.clunk(operation, fid).await,
+            Message::Tremove { fid } => self.remove(operation, fid).await,
+            Message::Tstat { fid } => self.submit(operation, &session.fids.get(fid)?, Op::Stat).await,
+            Message::Twstat { fid, stat } => self.wstat(operation, fid, stat).await,
+            _ => Err(NinePError::NotARequest),
+        }
+    }
+
+    /// Makes a fid for an export's root.
+    async fn attach(
+        &self,
+        operation: &Operation,
+        number: u32,
+        authentication_fid: u32,
+        uname: String,
+        export_name: &str,
+    ) -> Result<Message, NinePError> {
+        if authentication_fid != NO_FID {
+            return Err(NinePError::NoAuthentication);
+        }
+        let (fids, most_fids) = (&operation.session.fids, self.config.resource_limits.ninep_fids);
+        fids.check_vacant(number, most_fids)?;
+        let export = self.tenants.borrow().export(export_name);
+        let export = export.ok_or_else(|| NinePError::UnknownExport(export_name.to_owned()))?;
+        let root = Fid { export, uname, path: Vec::new(), open_mode: None, handle: self.new_handle() };
+        let reply = self.submit(operation, &root, Op::Attach).await?;
+        // Another operation of the session may have taken the number in between.
+        fids.check_vacant(number, most_fids)?;
+        if matches!(reply, Message::Rattach { .. }) {
+            fids.insert(number, root);
+        }
+        Ok(reply)
+    }
+
+    /// Reads from an open file, at most what one message can carry.
+    async fn read(
+        &self,
+        operation: &Operation,
+        number: u32,
+        offset: u64,
+        count: u32,
+    ) -> Result<Message, NinePError> {
+        let fid = operation.session.fids.get(number)?;
+        let mode = fid.open_mode.ok_or(NinePError::FidIsNotOpen)?;
+        if mode & MODE_ACCESS == MODE_WRITE {
+            return Err(NinePError::NotOpenForReading);
+        }
+        let count = count.min(operation.session.most_data());
+        self.submit(operation, &fid, Op::Read { offset, count }).await
+    }
+
+    /// Writes to an open file.
+    async fn write(
+        &self,
+        operation: &Operation,
+        number: u32,
+        offset: u64,
+        data: Bytes,
+    ) -> Result<Message, NinePError> {
+        let fid = operation.session.fids.get(number)?;
+        let mode = fid.open_mode.ok_or(NinePError::FidIsNotOpen)?;
+        if !matches!(mode & MODE_ACCESS, MODE_WRITE | MODE_READ_WRITE) {
+            return Err(NinePError::NotOpenForWriting);
+        }
+        self.submit(operation, &fid, Op::Write { offset, data }).await
+    }
+
+    /// Gives up a fid, and removes its file where it was opened so.
+    async fn clunk(&self, operation: &Operation, number: u32) -> Result<Message, NinePError> {
+        let fid = operation.session.fids.remove(number)?;
+        self.release_handle(fid.handle);
+        if fid.open_mode.is_some_and(|mode| mode & MODE_REMOVE != 0) {
+            // As with any server of 9P, the clunk succeeds whether or not the file could be removed.
+            let _ = self.submit(operation, &fid, Op::Remove).await;
+        }
+        Ok(Message::Rclunk)
+    }
+
+    /// Removes a file, and gives up its fid whether or not it could be removed.
+    async fn remove(&self, operation: &Operation, number: u32) -> Result<Message, NinePError> {
+        let fid = operation.session.fids.remove(number)?;
+        self.release_handle(fid.handle);
+        if fid.path.is_empty() {
+            return Err(NinePError::RootStays);
+        }
+        self.submit(operation, &fid, Op::Remove).await
+    }
+
+    /// Changes a file's directory entry; where that renames the file, the fid's path follows.
+    async fn wstat(&self, operation: &Operation, number: u32, stat: Bytes) -> Result<Message, NinePError> {
+        let fids = &operation.session.fids;
+        let fid = fids.get(number)?;
+        let name = stat_name(&stat)?;
+        let reply = self.submit(operation, &fid, Op::Wstat { stat }).await?;
+        if matches!(reply, Message::Rwstat) && !name.is_empty() {
+            fids.update(number, |fid| {
+                if let Some(last) = fid.path.last_mut() {
+                    *last = name;
+                }
+            });
+        }
+        Ok(reply)
+    }
+}
--- /dev/null
+++ b/crates/sedgerun/src/frontend/ninep/submission.rs
@@ -0,0 +1,94 @@
+//! Takes an operation to a backend, through the dispatcher.
+
+use super::NinePFrontend;
+use super::error::NinePError;
+use super::fids::Fid;
+use super::in_flight::Operation;
+use crate::backend::ninep::{NinePBackendRequest, Op};
+use crate::backend::{BackendRequest, BackendResponse};
+use crate::tenants::Export;
+use sedgerun_dispatch::{FinalAnswer, RequestSpec};
+use sedgerun_policy::Micros;
+use sedgerun_protocol_9p::{MODE_TRUNCATE, Message};
+
+/// When a client may retry whose request the dispatcher takes none of now.
+const NOT_SUBMITTED_RETRY: Micros = 100_000;
+
+impl NinePFrontend {
+    /// Submits an operation on a file to the dispatcher and waits for the final answer: a backend's reply.
+    pub(super) async fn submit(
+        &self,
+        operation: &Operation,
+        fid: &Fid,
+        op: Op,
+    ) -> Result<Message, NinePError> {
+        let export = &fid.export;
+        // Guards against going on with an export that its tenant has lost, or has in another form now.
+        let current = self.tenants.borrow().export(&export.name);
+        if current.as_ref().is_none_or(|current| current != export) {
+            return Err(NinePError::ExportChanged(export.name.clone()));
+        }
+        let spec = self.request_spec(fid, &op);
+        let backend_request = NinePBackendRequest {
+            uname: fid.uname.clone(),
+            tree: export.tree.clone(),
+            path: fid.path.clone(),
+            handle: fid.handle,
+            mode: fid.open_mode.unwrap_or_default(),
+            op,
+        };
+        if operation.is_cancelled() {
+            return Err(NinePError::Cancelled);
+        }
+        let pending = self
+            .dispatch
+            .submit(spec, BackendRequest::Ninep(backend_request))
+            .ok_or(NinePError::Rejected { retry_after: NOT_SUBMITTED_RETRY })?;
+        operation.request.set(Some(pending.request()));
+        let answer = pending.answer().await;
+        operation.request.set(None);
+        match answer {
+            FinalAnswer::Served(BackendResponse::Ninep(message)) => Ok(message),
+            FinalAnswer::Rejected(retry_after) => Err(NinePError::Rejected { retry_after }),
+            _ => Err(NinePError::Failed),
+        }
+    }
+
+    /// The terms of a request: it has its class's deadline from now.
+    fn request_spec(&self, fid: &Fid, op: &Op) -> RequestSpec {
+        let export = &fid.export;
+        let (class, bytes) = class_and_bytes(export, op);
+        let time_limit = self.config.settings.classes.get(class).map_or(0, |class| class.deadline);
+        RequestSpec {
+            class,
+            plan: export.plan,
+            key: file_key(export, &fid.path),
+            deadline: self.dispatch.clock().now() + time_limit,
+            volume: export.volume,
+            units: export.units(bytes),
+            shard: Some(export.shard),
+            volume_heads: export.heads,
+        }
+    }
+}
+
+/// The class that an operation has in an export, and the bytes of data that it moves.
+fn class_and_bytes(export: &Export, op: &Op) -> (usize, u32) {
+    match op {
+        Op::Read { count, .. } if *count >= export.large_bytes => (export.large, *count),
+        Op::Read { count, .. } => (export.read, *count),
+        Op::Write { data, .. } => (export.write, data.len() as u32),
+        Op::Open { mode } if mode & MODE_TRUNCATE != 0 => (export.write, 0),
+        Op::Create { .. } | Op::Wstat { .. } | Op::Remove => (export.write, 0),
+        Op::Attach | Op::Walk { .. } | Op::Open { .. } | Op::Stat => (export.read, 0),
+    }
+}
+
+/// The file as an item of data (FNV-1a over its tree and path).
+fn file_key(export: &Export, path: &[String]) -> u64 {
+    const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+    const PRIME: u64 = 0x0100_0000_01b3;
+    let names = std::iter::once(&export.tree).chain(path);
+    let bytes = names.flat_map(|name| name.bytes().chain([0]));
+    bytes.fold(OFFSET_BASIS, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(PRIME))
+}
--- /dev/null
+++ b/crates/sedgerun/src/frontend/ninep/walk.rs
@@ -0,0 +1,65 @@
+//! Walking to a file: `Twalk`.
+
+use super::NinePFrontend;
+use super::error::NinePError;
+use super::fids::Fid;
+use super::in_flight::Operation;
+use crate::backend::ninep::Op;
+use sedgerun_protocol_9p::Message;
+
+/// The most names in a path, and the most bytes: its names and a byte each.
+const MOST_PATH_NAMES: usize = 512;
+const MOST_PATH_BYTES: usize = 4096;
+
+impl NinePFrontend {
+    /// Walks from a fid's file along names, and makes a fid for what it comes to, if it comes all the way.
+    pub(super) async fn walk(
+        &self,
+        operation: &Operation,
+        number: u32,
+        new_number: u32,
+        names: Vec<String>,
+    ) -> Result<Message, NinePError> {
+        let (fids, most_fids) = (&operation.session.fids, self.config.resource_limits.ninep_fids);
+        let from = fids.get(number)?;
+        from.check_not_open()?;
+        if new_number != number {
+            fids.check_vacant(new_number, most_fids)?;
+        }
+        let path = path_after(&from.path, &names)?;
+        let steps = names.len();
+        let reply = if steps == 0 {
+            Message::Rwalk { qids: Vec::new() }
+        } else {
+            self.submit(operation, &from, Op::Walk { names }).await?
+        };
+        if matches!(&reply, Message::Rwalk { qids } if qids.len() == steps) {
+            // Another operation of the session may have taken the number in between.
+            if new_number != number {
+                fids.check_vacant(new_number, most_fids)?;
+            }
+            fids.insert(new_number, Fid { path, handle: self.new_handle(), ..from });
+        }
+        Ok(reply)
+    }
+}
+
+/// The path that names lead to from a path.
+fn path_after(from: &[String], names: &[String]) -> Result<Vec<String>, NinePError> {
+    if names.iter().any(|name| name.is_empty() || name.contains('/')) {
+        return Err(NinePError::MalformedName);
+    }
+    let mut path = from.to_vec();
+    for name in names {
+        match name.as_str() {
+            "." => {}
+            ".." => drop(path.pop()),
+            name => path.push(name.to_owned()),
+        }
+    }
+    let bytes: usize = path.iter().map(|name| name.len() + 1).sum();
+    if path.len() > MOST_PATH_NAMES || bytes > MOST_PATH_BYTES {
+        return Err(NinePError::PathTooDeep);
+    }
+    Ok(path)
+}
