--- a/crates/sedgerun/src/head.rs
+++ b/crates/sedgerun/src/head.rs
@@ -258,7 +258,7 @@
             ));
         }
         let mut discovery = Discovery::new(Rc::clone(&self.dispatch), Rc::clone(&self.config));
-        discovery.take_known(self.known.take());
+        discovery.load_cached(self.known.take());
         actix_rt::spawn(discovery.run(at));
         let serve = Rc::clone(&self.front).serve(http);
         let serving = actix_rt::spawn(async move {
--- a/crates/sedgerun/tests/list.rs
+++ b/crates/sedgerun/tests/endpoint_list.rs
@@ -1,6 +1,8 @@
-//! How a list of backends is read: what is ignored, what is refused and with which words, and what is too large.
+//! How an endpoint list is read: what is ignored, what is refused and with which message, and what is too large.
 
-use sedgerun::discovery::list::{Entry, List, ListBounds, ListError, TooLarge, Unit, read_list};
+use sedgerun::discovery::list::{
+    EndpointEntry, EndpointList, ListBounds, ListError, SizeUnit, TooLarge, read_list,
+};
 use sedgerun::resource_limits::ResourceLimits;
 use sedgerun_policy::Readiness;
 use serde_json::{Value, json};
@@ -16,11 +18,11 @@
     json!({"generation": 41, "reset": true, "instances": instances})
 }
 
-fn read(text: &str) -> Result<List, ListError> {
+fn read(text: &str) -> Result<EndpointList, ListError> {
     read_list(text.as_bytes(), &["a".to_owned(), "b".to_owned()], BOUNDS)
 }
 
-/// The words in which a text is refused.
+/// The message with which a text is refused.
 fn refusal(text: &str) -> String {
     read(text).expect_err("an error").to_string()
 }
@@ -36,14 +38,14 @@
     entry
 }
 
-fn expected() -> Entry {
-    Entry {
+fn expected() -> EndpointEntry {
+    EndpointEntry {
         id: "s-1".into(),
         readiness: Readiness::Ready,
         address: Some(([127, 0, 0, 1], 5000).into()),
-        cell: 3,
+        shard: 3,
         zone: 1,
-        came_up: 7000,
+        started_at: 7000,
     }
 }
 
@@ -52,7 +54,7 @@
     let document = document(&[entry(), altered("instanceId", Some(json!("s-2")))]);
     for text in [document.to_string(), serde_json::to_string_pretty(&document).expect("text")] {
         let list = read(&text).expect("a list");
-        assert_eq!((list.generation, list.whole, list.entries.len()), (41, true, 2));
+        assert_eq!((list.generation, list.is_full, list.entries.len()), (41, true, 2));
         assert_eq!(list.entries[0], expected());
         assert_eq!(list.entries[1].id, "s-2");
     }
@@ -67,20 +69,23 @@
         r#"{{"x":{{"instances":5}},"instances":[{entry}],"y":-1.5,"reset":false,"generation":0,"z":"\u00e4"}}"#
     );
     let list = read(&text).expect("a list");
-    assert_eq!(list, List { generation: 0, whole: false, entries: vec![expected()] });
+    assert_eq!(list, EndpointList { generation: 0, is_full: false, entries: vec![expected()] });
 }
 
 #[test]
-fn of_a_key_that_is_there_twice_the_last_value_holds() {
+fn the_last_value_of_a_duplicate_key_holds() {
     let entry = entry().to_string().replacen('{', r#"{"cell":"x","cell":9,"instanceId":"","#, 1);
     let text = format!(
         r#"{{"generation":1,"instances":[5],"reset":true,"instances":[{entry}],"generation":2,"reset":false}}"#
     );
-    assert_eq!(read(&text).expect("a list"), List { generation: 2, whole: false, entries: vec![expected()] });
+    assert_eq!(
+        read(&text).expect("a list"),
+        EndpointList { generation: 2, is_full: false, entries: vec![expected()] }
+    );
 }
 
 #[test]
-fn an_id_that_is_there_twice_is_two_entries_in_order() {
+fn a_duplicate_id_is_two_entries_in_order() {
     let list = read(&document(&[entry(), altered("lifecycle", Some(json!("draining")))]).to_string());
     let states: Vec<_> = list.expect("a list").entries.iter().map(|entry| entry.readiness).collect();
     assert_eq!(states, [Readiness::Ready, Readiness::Draining]);
@@ -92,7 +97,7 @@
         for value in [None, Some(json!(null)), Some(json!({"a": [1]})), Some(json!(-3)), Some(json!(true))] {
             let list = read(&document(&[altered(key, value)]).to_string()).expect("a list");
             let entry = &list.entries[0];
-            assert_eq!(if key == "zone" { u64::from(entry.zone) } else { entry.came_up }, 0);
+            assert_eq!(if key == "zone" { u64::from(entry.zone) } else { entry.started_at }, 0);
         }
     }
     let elsewhere = document(&[altered("zone", Some(json!("q")))]).to_string();
@@ -100,10 +105,10 @@
 }
 
 #[test]
-fn a_backend_that_is_gone_needs_no_address_and_no_shard() {
+fn a_removed_backend_needs_no_address_and_no_shard() {
     let gone = json!({"instanceId": "s-1", "lifecycle": "gone"});
     let list = read(&document(&[gone]).to_string()).expect("a list");
-    assert_eq!((list.entries[0].address, list.entries[0].cell), (None, 0));
+    assert_eq!((list.entries[0].address, list.entries[0].shard), (None, 0));
 }
 
 #[test]
@@ -151,7 +156,7 @@
 
 /// Wherever it is cut; and with anything behind it.
 #[test]
-fn text_that_is_no_json_is_refused() {
+fn text_that_is_not_json_is_refused() {
     let text = document(&[entry(), entry()]).to_string();
     for length in 0..text.len() {
         assert!(matches!(read(&text[..length]), Err(ListError::Syntax(_))), "{}", &text[..length]);
@@ -166,7 +171,7 @@
     let full = document(&vec![entry(); 100]).to_string();
     assert_eq!(read(&full).expect("a full list").entries.len(), 100);
     let text = document(&vec![entry(); 140]).to_string();
-    let too_large = TooLarge { size: 140, bound: 100, unit: Unit::Entries };
+    let too_large = TooLarge { size: 140, bound: 100, unit: SizeUnit::Entries };
     assert!(matches!(read(&text), Err(ListError::TooLarge(found)) if found == too_large));
     assert_eq!(
         refusal(&text),
--- a/crates/sedgerun/tests/large_lists.rs
+++ b/crates/sedgerun/tests/large_endpoint_lists.rs
@@ -1,5 +1,5 @@
-//! Lists of many backends, and lists that no head can hold: the first are served from, the second cost bounded
-//! memory, one line of the log and ever fewer calls, and the list in force stands.
+//! Endpoint lists of many backends, and lists that no head can hold: the first are served from, the second cost bounded
+//! memory, one line of the log and ever fewer polls, and the list in force stays.
 
 mod standin;
 
@@ -43,23 +43,23 @@
     json!({"generation": 1, "reset": true, "instances": entries})
 }
 
-/// Asks for a long read, which has 4 s: on a busy machine a head rightly refuses one that it cannot begin in half
-/// of its time.
-fn ask(program: &Program) -> String {
+/// Sends a long read, whose deadline is 4 s: on a busy machine a head rightly rejects one that it cannot begin in half
+/// of that time.
+fn request_long_read(program: &Program) -> String {
     program.ask(&get("a0", 4000).replace("GET /read", "GET /bulk")).0
 }
 
 fn is_served(program: &Program) -> bool {
-    ask(program).starts_with("HTTP/1.1 200")
+    request_long_read(program).starts_with("HTTP/1.1 200")
 }
 
 fn assert_served(program: &Program) {
-    let answer = ask(program);
+    let answer = request_long_read(program);
     assert!(answer.starts_with("HTTP/1.1 200"), "the list in force stands: {answer}");
 }
 
 /// Waits until a head serves.
-fn serves_in_time(program: &Program) {
+fn wait_until_served(program: &Program) {
     let begun = Instant::now();
     while !is_served(program) {
         assert!(begun.elapsed() < READY_TIME, "nothing is served");
@@ -75,33 +75,33 @@
     log
 }
 
-/// Starts a head with an empty list before a discovery with so many backends.
-fn starts_before(count: usize) -> Program {
+/// Starts a head with an empty list, whose discovery lists so many backends.
+fn start_before(count: usize) -> Program {
     let backend = backend();
     let discovery = Discovery::start(entries(&backend, count));
     let program = Program::start(&config(discovery.address), None);
-    serves_in_time(&program);
+    wait_until_served(&program);
     program
 }
 
 #[test]
-fn a_head_that_knows_nothing_serves_before_the_operators_number_of_backends() {
-    let log = log_of(starts_before(OPERATORS_SIZE));
+fn a_head_without_a_cached_list_serves_from_the_operators_number_of_backends() {
+    let log = log_of(start_before(OPERATORS_SIZE));
     assert!(!log.contains("discovery: "), "{log}");
 }
 
 #[test]
 fn a_head_of_192_mb_holds_20_000_backends() {
-    let program = starts_before(LARGEST);
+    let program = start_before(LARGEST);
     let peak = program.peak_memory_kib();
     assert!(peak < MOST_MEMORY_KIB, "{peak} KiB");
     let log = log_of(program);
     assert!(!log.contains("discovery: "), "{log}");
 }
 
-/// While discovery says nothing.
+/// While discovery is silent.
 #[test]
-fn a_known_list_of_the_operators_size_is_served_from() {
+fn a_cached_list_of_the_operators_size_is_served_from() {
     let backend = backend();
     let discovery = Discovery::start(vec![]);
     discovery.silence(true);
@@ -113,26 +113,28 @@
     assert!(!log.contains("known: "), "{log}");
 }
 
-/// A discovery whose calls are each answered by one function, and counted.
-struct Scripted {
+/// A discovery whose polls are each answered by one function, and counted.
+struct ScriptedDiscovery {
     address: SocketAddr,
-    calls: Arc<AtomicU32>,
+    polls: Arc<AtomicU32>,
 }
 
-impl Scripted {
-    /// `answer` gets the first line of a call; an error of its ends the connection.
-    fn start(answer: impl Fn(&str, &mut TcpStream) -> io::Result<()> + Send + Sync + 'static) -> Scripted {
+impl ScriptedDiscovery {
+    /// `answer` gets the first line of a poll; its error ends the connection.
+    fn start(
+        answer: impl Fn(&str, &mut TcpStream) -> io::Result<()> + Send + Sync + 'static,
+    ) -> ScriptedDiscovery {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
-        let (calls, answer) = (Arc::<AtomicU32>::default(), Arc::new(answer));
-        let counted = Arc::clone(&calls);
+        let (polls, answer) = (Arc::<AtomicU32>::default(), Arc::new(answer));
+        let counted = Arc::clone(&polls);
         thread::spawn(move || {
             for mut stream in listener.incoming().flatten() {
-                let (calls, answer) = (Arc::clone(&counted), Arc::clone(&answer));
+                let (polls, answer) = (Arc::clone(&counted), Arc::clone(&answer));
                 thread::spawn(move || {
                     let mut reader = BufReader::new(stream.try_clone().expect("a clone"));
                     while let Some((lines, _)) = read_http(&mut reader) {
-                        calls.fetch_add(1, Ordering::SeqCst);
+                        polls.fetch_add(1, Ordering::SeqCst);
                         if answer(&lines[0], &mut stream).is_err() {
                             return;
                         }
@@ -140,12 +142,12 @@
                 });
             }
         });
-        Scripted { address, calls }
+        ScriptedDiscovery { address, polls }
     }
 
     /// One that answers each call with the same text and, where it is given, a tail without end.
-    fn endless(text: &'static str, tail: &'static str) -> Scripted {
-        Scripted::start(move |_, stream| {
+    fn endless(text: &'static str, tail: &'static str) -> ScriptedDiscovery {
+        ScriptedDiscovery::start(move |_, stream| {
             stream.write_all(HEAD)?;
             write_chunk(stream, text)?;
             let tail = tail.repeat(1024);
@@ -155,8 +157,8 @@
         })
     }
 
-    fn calls(&self) -> u32 {
-        self.calls.load(Ordering::SeqCst)
+    fn polls(&self) -> u32 {
+        self.polls.load(Ordering::SeqCst)
     }
 }
 
@@ -169,7 +171,7 @@
     stream.write_all(format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()).as_bytes())
 }
 
-/// A head that was started with one backend, whose lists are asked for or pushed.
+/// A head that was started with one backend, whose lists are polled or pushed.
 fn head_with_one(backend: &StandIn, discovery: SocketAddr, pushed: bool) -> Program {
     let mut config = config(discovery);
     config["known"] = list(&[backend.entry("ready")]);
@@ -184,7 +186,7 @@
 }
 
 /// Serves for so long, and checks what a list that is too large costs in memory and lines.
-fn stands(program: Program, time: Duration, expected: &str) {
+fn assert_list_stays(program: Program, time: Duration, expected: &str) {
     let begun = Instant::now();
     while begun.elapsed() < time {
         assert_served(&program);
@@ -193,7 +195,7 @@
     let peak = program.peak_memory_kib();
     assert!(peak < MOST_MEMORY_KIB, "{peak} KiB");
     let log = log_of(program);
-    // Where processors are short, a call may end before its answer has been read.
+    // Where processors are short, a poll may time out before its answer has been read.
     let of_a_list = |line: &&str| line.contains("discovery: ") && !line.contains("no answer in time");
     let lines: Vec<_> = log.lines().filter(of_a_list).collect();
     assert_eq!(lines.len(), 1, "one line: {log}");
@@ -201,48 +203,62 @@
 }
 
 #[test]
-fn an_endless_list_costs_bounded_memory_one_line_and_few_calls() {
+fn an_endless_list_costs_bounded_memory_one_line_and_few_polls() {
     let backend = backend();
-    let discovery = Scripted::endless(
+    let discovery = ScriptedDiscovery::endless(
         r#"{"generation":2,"reset":true,"instances":[{"instanceId":"a","lifecycle":"gone"}"#,
         r#",{"instanceId":"a","lifecycle":"gone"}"#,
     );
     let program = head_with_one(&backend, discovery.address, false);
-    stands(program, Duration::from_secs(8), "bytes or more, over the 12582912 that limits.memory_mb allows");
-    assert!((1..=4).contains(&discovery.calls()), "{} calls", discovery.calls());
+    assert_list_stays(
+        program,
+        Duration::from_secs(8),
+        "bytes or more, over the 12582912 that limits.memory_mb allows",
+    );
+    assert!((1..=4).contains(&discovery.polls()), "{} polls", discovery.polls());
 }
 
 #[test]
-fn an_endless_string_costs_bounded_memory_one_line_and_few_calls() {
+fn an_endless_string_costs_bounded_memory_one_line_and_few_polls() {
     let backend = backend();
-    let discovery =
-        Scripted::endless(r#"{"generation":2,"reset":true,"instances":[{"instanceId":""#, r"\u0061aaaaaaaaa");
+    let discovery = ScriptedDiscovery::endless(
+        r#"{"generation":2,"reset":true,"instances":[{"instanceId":""#,
+        r"\u0061aaaaaaaaa",
+    );
     let program = head_with_one(&backend, discovery.address, false);
-    stands(program, Duration::from_secs(8), "bytes or more, over the 12582912 that limits.memory_mb allows");
-    assert!((1..=4).contains(&discovery.calls()), "{} calls", discovery.calls());
+    assert_list_stays(
+        program,
+        Duration::from_secs(8),
+        "bytes or more, over the 12582912 that limits.memory_mb allows",
+    );
+    assert!((1..=4).contains(&discovery.polls()), "{} polls", discovery.polls());
 }
 
-/// An agent is otherwise called anew at once.
+/// An agent is otherwise polled again at once.
 #[test]
-fn an_agent_with_an_endless_list_is_called_at_growing_intervals() {
+fn an_agent_with_an_endless_list_is_polled_at_growing_intervals() {
     let backend = backend();
-    let discovery = Scripted::endless(r#"{"generation":2,"reset":true,"instances":["#, "        ");
+    let discovery = ScriptedDiscovery::endless(r#"{"generation":2,"reset":true,"instances":["#, "        ");
     let program = head_with_one(&backend, discovery.address, true);
-    stands(program, Duration::from_secs(5), "bytes or more, over the 12582912 that limits.memory_mb allows");
-    assert!((3..=9).contains(&discovery.calls()), "{} calls", discovery.calls());
+    assert_list_stays(
+        program,
+        Duration::from_secs(5),
+        "bytes or more, over the 12582912 that limits.memory_mb allows",
+    );
+    assert!((3..=9).contains(&discovery.polls()), "{} polls", discovery.polls());
 }
 
-/// A length that is said, and is too large, is an error before any of the body comes.
+/// A length that is announced, and is too large, is an error before any of the body comes.
 #[test]
 fn a_list_that_announces_too_many_bytes_is_not_waited_for() {
     let backend = backend();
-    let discovery = Scripted::start(|_, stream| {
+    let discovery = ScriptedDiscovery::start(|_, stream| {
         stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 99999999999\r\n\r\n{")?;
         thread::sleep(Duration::from_secs(60));
         Ok(())
     });
     let program = head_with_one(&backend, discovery.address, false);
-    stands(program, Duration::from_secs(1), "99999999999 bytes or more, over the 12582912 that");
+    assert_list_stays(program, Duration::from_secs(1), "99999999999 bytes or more, over the 12582912 that");
 }
 
 #[test]
@@ -251,7 +267,7 @@
     let gone = json!({"instanceId": "a", "lifecycle": "gone"});
     let discovery = Discovery::start(vec![gone; MOST_ENTRIES + 1000]);
     let program = head_with_one(&backend, discovery.address, false);
-    stands(
+    assert_list_stays(
         program,
         Duration::from_secs(2),
         "50152 entries or more, over the 49152 that limits.memory_mb allows; the list in force stands",
@@ -259,7 +275,7 @@
 }
 
 #[test]
-fn a_list_that_fits_again_is_taken() {
+fn a_list_that_fits_again_is_used() {
     let (old, new) = (backend(), backend());
     let gone = json!({"instanceId": "a", "lifecycle": "gone"});
     let discovery = Discovery::start(vec![gone; MOST_ENTRIES + 1]);
@@ -271,7 +287,7 @@
     let begun = Instant::now();
     while new.runs("GET") == 0 {
         assert_served(&program);
-        assert!(begun.elapsed() < Duration::from_secs(10), "the new list is not taken");
+        assert!(begun.elapsed() < Duration::from_secs(10), "the new list is not used");
         thread::sleep(Duration::from_millis(50));
     }
     let log = log_of(program);
@@ -286,7 +302,7 @@
     let known = entries(&backend, 4_000);
     let more: Vec<_> = entries(&backend, 4_200).split_off(4_000);
     let whole = list(&known);
-    let discovery = Scripted::start(move |line, stream| {
+    let discovery = ScriptedDiscovery::start(move |line, stream| {
         if line.contains("since=1&") {
             return write_whole(stream, &json!({"generation": 2, "reset": false, "instances": more}));
         }
--- a/crates/testbed/src/scale/hollow.rs
+++ b/crates/testbed/src/scale/hollow.rs
@@ -121,7 +121,7 @@
         let node = Rc::new(RefCell::new(Some(node)));
         let (moves, discovery_at) = watch::channel(config.discovery);
         let mut discovery = Discovery::new(Rc::clone(&dispatch), Rc::clone(&config));
-        discovery.take_known(known);
+        discovery.load_cached(known);
         let tenants = Rc::new(RefCell::new(config.operator.tenants.clone()));
         let tasks = [
             spawn_local(accept(listener, self.surroundings.network.clone(), Rc::clone(&node))),
