--- a/crates/sedgerun/src/admin/mod.rs
+++ b/crates/sedgerun/src/admin/mod.rs
@@ -156,7 +156,7 @@
             }
             (&Method::PUT, ["v1", "tenants", name, "exports", export]) => self.put_export(name, export, body),
             (&Method::DELETE, ["v1", "tenants", name, "exports", export]) => {
-                if self.tenants.borrow_mut().remove(name, export) {
+                if self.tenants.borrow_mut().remove_export(name, export) {
                     (StatusCode::NO_CONTENT, Value::Null)
                 } else {
                     error(StatusCode::NOT_FOUND, format!("no export {export} of tenant {name}"))
@@ -192,7 +192,7 @@
         changed.open(name);
         for export in exports {
             if let Err(what) = changed.add(name, export) {
-                return error(StatusCode::CONFLICT, what);
+                return error(StatusCode::CONFLICT, what.to_string());
             }
         }
         *self.tenants.borrow_mut() = changed;
@@ -208,9 +208,9 @@
             Err(what) => return error(StatusCode::BAD_REQUEST, what),
         };
         let mut changed = self.tenants.borrow().clone();
-        let fresh = !changed.remove(name, export);
+        let fresh = !changed.remove_export(name, export);
         if let Err(what) = changed.add(name, read) {
-            return error(StatusCode::CONFLICT, what);
+            return error(StatusCode::CONFLICT, what.to_string());
         }
         *self.tenants.borrow_mut() = changed;
         self.written(name, fresh)
--- a/crates/sedgerun/src/config/mod.rs
+++ b/crates/sedgerun/src/config/mod.rs
@@ -1,26 +1,36 @@
-//! The one place where the platform's configuration is read, checked and given its defaults; the operator's
-//! file is read beside it by [`operator`](crate::operator). Whatever is wrong is said, each fault in one line
-//! that names the key and its place.
+//! The one place where the platform's configuration is read, checked and given its defaults; the operator's file is
+//! read beside it by [`operator`](crate::operator). Each fault is reported in one line that names the key and its
+//! place.
 //!
-//! The platform's JSON is flattened into the `path=value` pairs that the adapter reads, and decoded by the
-//! adapter's own [`settings`].
+//! The platform's JSON is flattened into the `path=value` pairs that the adapter reads, and decoded by the adapter's
+//! own [`settings`](sedgerun_config::pairs::settings). `document` parses the JSON, `reader` reads its keys.
 
+mod document;
+mod reader;
+
+use self::document::Document;
+use self::reader::PlatformReader;
 use crate::operator::Operator;
 use crate::resource_limits::ResourceLimits;
 use crate::tenants::Catalogue;
-use sedgerun_config::pairs::settings;
-use sedgerun_config::platform::{flatten, locate};
-use sedgerun_config::{Fault, Faults, Pairs};
+use sedgerun_config::Faults;
 use sedgerun_policy::{Micros, Settings};
-use serde::Deserialize;
-use serde::de::{Deserializer, MapAccess, Visitor};
 use serde_json::value::RawValue;
-use serde_json::{Map, Value};
-use std::cell::RefCell;
-use std::collections::BTreeMap;
-use std::fmt;
 use std::net::SocketAddr;
 
+/// The fewest descriptors, and the least memory in MiB, that a head may be limited to.
+const MIN_SOCKETS: u64 = 32;
+const MIN_MEMORY_MB: u64 = 8;
+/// The descriptors, and the memory in MiB, of a head without these limits in its settings.
+const DEFAULT_SOCKETS: u64 = 1024;
+const DEFAULT_MEMORY_MB: u64 = 192;
+/// How long an idle connection to a backend is kept, where the settings do not say: 15 s.
+const DEFAULT_IDLE_TIMEOUT: Micros = 15_000_000;
+/// How long a connection may take to be made, where the settings do not say: 250 ms.
+const DEFAULT_DIAL_TIMEOUT: Micros = 250_000;
+/// How many requests may be open at once, where neither the settings nor memory allow fewer.
+const DEFAULT_MAX_OPEN: u64 = 20_000;
+
 /// The files that the configuration is read from, at the start and again on SIGHUP.
 #[derive(Clone, Debug)]
 pub struct Sources {
@@ -31,28 +41,30 @@
 }
 
 impl Sources {
-    /// Reads and checks them, to the last fault of both.
+    /// Reads and checks them; the error holds the faults of both.
     pub fn read(&self) -> Result<Config, Faults> {
-        let text = |key: &str, path: &str| {
-            let failed = |error| Faults::one(key, format!("{key}: {path}: {error}"), None);
-            std::fs::read_to_string(path).map_err(failed)
-        };
-        let (mut config, mut faults) = Config::read(&text("LB_CONFIG", &self.config)?);
-        faults = faults.under(&self.config);
+        let text = read_file("LB_CONFIG", &self.config)?;
+        let (mut config, faults) = Config::read(&text);
+        let mut faults = faults.under(&self.config);
         if let Some(path) = &self.operator {
             // Whatever is wrong with the platform's JSON, the names in it are what exports are checked against.
-            let added = text("LB_OPERATOR", path)
-                .and_then(|text| config.add_operator(&text).map_err(|faults| faults.under(path)));
-            faults.0.extend(added.err().into_iter().flat_map(|faults| faults.0));
+            if let Err(more) = config.add_operator_file(path) {
+                faults.0.extend(more.0);
+            }
         }
         if faults.0.is_empty() { Ok(config) } else { Err(faults) }
     }
 }
 
-/// What the program works with.
+/// The text of the file that a key of the environment names.
+fn read_file(key: &str, path: &str) -> Result<String, Faults> {
+    std::fs::read_to_string(path).map_err(|error| Faults::one(key, format!("{key}: {path}: {error}"), None))
+}
+
+/// The checked configuration of one head.
 #[derive(Debug)]
 pub struct Config {
-    /// Its name.
+    /// The head's name.
     pub name: String,
     /// Where clients connect.
     pub listen: SocketAddr,
@@ -62,27 +74,27 @@
     pub mgmt: Option<SocketAddr>,
     /// Seed of random numbers.
     pub seed: u64,
-    /// Descriptors that the program may hold.
+    /// The most file descriptors that the program may have open.
     pub sockets: usize,
-    /// The list as it was last had: JSON in discovery's form, read by [`read_list`](crate::discovery::list::read_list).
+    /// The cached endpoint list: JSON in discovery's form, read by [`read_list`](crate::discovery::list::read_list).
     pub known: Option<Box<RawValue>>,
-    /// The settings of the decisions.
+    /// The settings of the controller.
     pub settings: Settings,
-    /// Names of the classes, in order.
+    /// Names of the request classes, in order.
     pub classes: Vec<String>,
-    /// Names of the plans, in order.
+    /// Names of the service plans, in order.
     pub plans: Vec<String>,
     /// Names of the zones, in order.
     pub zones: Vec<String>,
-    /// Idle connections to nodes close after this.
+    /// How long an idle connection to a backend is kept.
     pub idle: Micros,
-    /// A connection not made by then has failed.
+    /// How long a connection to a backend may take to be made.
     pub dial: Micros,
-    /// Which classes write; empty where that is not told.
+    /// Whether each class changes data, in order; empty where the settings do not say.
     pub writes: Vec<bool>,
-    /// Requests that may be open at once.
+    /// The most requests that may be open at once.
     pub most_open: usize,
-    /// What the limits leave for each part.
+    /// What the limits on memory and descriptors leave for each part.
     pub resource_limits: ResourceLimits,
     /// What the operator's file adds.
     pub operator: Operator,
@@ -91,38 +103,23 @@
 impl Config {
     /// Reads the platform's JSON: what can be used of it, and what is wrong with it.
     fn read(text: &str) -> (Config, Faults) {
-        let (Document { json, known }, malformed) = match serde_json::from_str(text) {
-            Ok(document) => (document, None),
+        match serde_json::from_str(text) {
+            Ok(document) => Config::from_document(text, document),
             Err(error) => {
-                let fault = Faults::one("", format!("malformed JSON: {error}"), None);
-                (Document::default(), Some(fault))
-            }
-        };
-        let reader = Reader { text, json: &json, faults: RefCell::default() };
-        let seed = reader.string("seed");
-        let seed = u64::from_str_radix(seed, 16).unwrap_or_else(|_| {
-            if !seed.is_empty() {
-                reader.fault("seed", format!("seed is not hexadecimal: {seed}"));
+                let (config, _) = Config::from_document(text, Document::default());
+                (config, Faults::one("", format!("malformed JSON: {error}"), None))
             }
-            0
-        });
-        let sockets = reader.limit("sockets", 32, 1024);
-        let bounds = ResourceLimits::new(sockets, reader.limit("memory_mb", 8, 192));
-        let mut map = BTreeMap::new();
-        match json.get("settings") {
-            Some(settings) if settings.is_object() => flatten("", settings, &mut map),
-            Some(_) => reader.fault("settings", "settings is not an object".into()),
-            None => reader.fault("settings", "settings is missing".into()),
         }
-        let pairs = Pairs::from_map(&map);
-        let settings = settings(&pairs);
-        if let (Err(faults), false) = (pairs.finish(()), map.is_empty()) {
-            for Fault { key, what, .. } in faults.0 {
-                reader.fault(&format!("settings.{key}"), format!("settings: {what}"));
-            }
-        }
-        let zones =
-            map.get("zones").map_or(Vec::new(), |zones| zones.split(',').map(str::to_owned).collect());
+    }
+
+    /// Reads a document that was parsed from this text. Faults are in the order in which the keys are read.
+    fn from_document(text: &str, document: Document) -> (Config, Faults) {
+        let mut reader = PlatformReader::new(text, &document.json);
+        let seed = reader.hexadecimal("seed");
+        let sockets = reader.limit("sockets", MIN_SOCKETS, DEFAULT_SOCKETS);
+        let memory_mb = reader.limit("memory_mb", MIN_MEMORY_MB, DEFAULT_MEMORY_MB);
+        let resource_limits = ResourceLimits::new(sockets, memory_mb);
+        let settings = reader.policy_settings();
         let config = Config {
             name: reader.string("name").to_owned(),
             listen: reader.address("listen"),
@@ -130,19 +127,24 @@
             mgmt: reader.optional_address("mgmt", std::env::var("LB_MGMT").ok()),
             seed,
             sockets,
-            known,
+            known: document.cached_list,
             settings,
-            classes: reader.names(&map, "classes"),
-            plans: reader.names(&map, "plans"),
-            zones,
-            idle: reader.figure(&map, "limits.connIdle", 15_000_000),
-            dial: reader.figure(&map, "limits.dialTimeout", 250_000),
-            writes: reader.flags(&map, "specifics.changesData"),
-            most_open: (reader.figure(&map, "limits.maxOpen", 20_000) as usize).min(bounds.open),
-            resource_limits: bounds,
+            classes: reader.names("classes"),
+            plans: reader.names("plans"),
+            zones: reader.words("zones"),
+            idle: reader.figure("limits.connIdle", DEFAULT_IDLE_TIMEOUT),
+            dial: reader.figure("limits.dialTimeout", DEFAULT_DIAL_TIMEOUT),
+            writes: reader.flags("specifics.changesData"),
+            most_open: (reader.figure("limits.maxOpen", DEFAULT_MAX_OPEN) as usize).min(resource_limits.open),
+            resource_limits,
             operator: Operator::default(),
         };
-        (config, malformed.unwrap_or_else(|| Faults(reader.faults.take())))
+        (config, reader.into_faults())
+    }
+
+    fn add_operator_file(&mut self, path: &str) -> Result<(), Faults> {
+        let text = read_file("LB_OPERATOR", path)?;
+        self.add_operator(&text).map_err(|faults| faults.under(path))
     }
 
     /// Adds what the operator's file sets up.
@@ -159,7 +161,7 @@
         Catalogue { classes: &self.classes, plans: &self.plans, settings: &self.settings }
     }
 
-    /// The keys in which another configuration differs that stay as they are until the next start.
+    /// The keys in which another configuration differs from this one and which take effect at the next start only.
     pub fn fixed(&self, other: &Config) -> Vec<&'static str> {
         let same = [
             ("name", self.name == other.name),
@@ -191,147 +193,3 @@
         self.plans.iter().position(|plan| plan == name)
     }
 }
-
-/// The platform's JSON, with the list of backends kept apart as text: as a tree, a large one would take several
-/// times its bytes.
-#[derive(Debug, Default)]
-struct Document {
-    json: Value,
-    known: Option<Box<RawValue>>,
-}
-
-impl<'de> Deserialize<'de> for Document {
-    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Document, D::Error> {
-        deserializer.deserialize_map(DocumentVisitor)
-    }
-}
-
-struct DocumentVisitor;
-
-impl<'de> Visitor<'de> for DocumentVisitor {
-    type Value = Document;
-
-    fn expecting(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        formatter.write_str("an object of settings")
-    }
-
-    fn visit_map<A: MapAccess<'de>>(self, mut object: A) -> Result<Document, A::Error> {
-        let (mut json, mut known) = (Map::new(), None);
-        while let Some(key) = object.next_key::<String>()? {
-            if key == "known" {
-                known = object.next_value::<Option<Box<RawValue>>>()?;
-            } else {
-                json.insert(key, object.next_value()?);
-            }
-        }
-        Ok(Document { json: Value::Object(json), known })
-    }
-}
-
-/// Reads the platform's JSON by its keys, and notes what is wrong.
-struct Reader<'a> {
-    text: &'a str,
-    json: &'a Value,
-    faults: RefCell<Vec<Fault>>,
-}
-
-impl<'a> Reader<'a> {
-    fn fault(&self, key: &str, what: String) {
-        let fault = Fault { key: key.to_owned(), what, place: locate(self.text, key) };
-        self.faults.borrow_mut().push(fault);
-    }
-
-    fn string(&self, name: &str) -> &'a str {
-        match self.json.get(name).map(Value::as_str) {
-            Some(Some(text)) => return text,
-            Some(None) => self.fault(name, format!("{name} is not a string")),
-            None => self.fault(name, format!("{name} is missing")),
-        }
-        ""
-    }
-
-    fn address(&self, name: &str) -> SocketAddr {
-        let text = self.string(name);
-        // An empty one is missing, and said so already.
-        let parsed = if text.is_empty() { None } else { self.parse_address(name, text) };
-        parsed.unwrap_or(SocketAddr::from(([127, 0, 0, 1], 0)))
-    }
-
-    /// Reads an address, and notes one that is not.
-    fn parse_address(&self, name: &str, text: &str) -> Option<SocketAddr> {
-        let parsed = text.parse().ok();
-        if parsed.is_none() {
-            self.fault(name, format!("{name} is not an address: {text}"));
-        }
-        parsed
-    }
-
-    /// An address that may be missing; where the JSON has none, the environment's.
-    fn optional_address(&self, name: &str, environment: Option<String>) -> Option<SocketAddr> {
-        let text = match self.json.get(name) {
-            Some(Value::String(text)) => text.clone(),
-            Some(Value::Null) | None => environment.filter(|text| !text.is_empty())?,
-            Some(_) => {
-                self.fault(name, format!("{name} is not a string"));
-                return None;
-            }
-        };
-        self.parse_address(name, &text)
-    }
-
-    fn limit(&self, name: &str, least: u64, absent: u64) -> usize {
-        let Some(value) = self.json.pointer(&format!("/limits/{name}")) else { return absent as usize };
-        match value.as_u64().filter(|limit| (least..=1 << 20).contains(limit)) {
-            Some(limit) => limit as usize,
-            None => {
-                self.fault(&format!("limits.{name}"), format!("limits.{name} is out of range: {value}"));
-                absent as usize
-            }
-        }
-    }
-
-    fn names(&self, map: &BTreeMap<String, String>, list: &str) -> Vec<String> {
-        let count = map.get(&format!("{list}.count")).and_then(|n| n.parse().ok()).unwrap_or(0usize);
-        let name = |i| {
-            let key = format!("{list}.{i}.name");
-            map.get(&key).cloned().unwrap_or_else(|| {
-                self.fault(&format!("settings.{key}"), format!("settings.{key} is missing"));
-                String::new()
-            })
-        };
-        let names: Vec<String> = (0..count).map(name).collect();
-        // A request names one of them: the second of that name would never be meant.
-        for (i, name) in names.iter().enumerate() {
-            if !name.is_empty() && names[..i].contains(name) {
-                let key = format!("settings.{list}.{i}.name");
-                self.fault(&key, format!("{key} is there twice: {name}"));
-            }
-        }
-        names
-    }
-
-    fn figure(&self, map: &BTreeMap<String, String>, key: &str, absent: u64) -> u64 {
-        let Some(text) = map.get(key) else { return absent };
-        match text.parse::<f64>() {
-            Ok(value) if (1.0..=1e15).contains(&value) => value as u64,
-            _ => {
-                self.fault(&format!("settings.{key}"), format!("settings.{key} is out of range: {text}"));
-                absent
-            }
-        }
-    }
-
-    fn flags(&self, map: &BTreeMap<String, String>, key: &str) -> Vec<bool> {
-        let text = map.get(key).map_or("", String::as_str);
-        let flag = |flag: &str| match flag {
-            "true" => true,
-            "false" => false,
-            other => {
-                let what = format!("settings.{key} is neither true nor false: {other}");
-                self.fault(&format!("settings.{key}"), what);
-                false
-            }
-        };
-        text.split(',').filter(|_| !text.is_empty()).map(flag).collect()
-    }
-}
--- a/crates/sedgerun/src/replicated_state.rs
+++ b/crates/sedgerun/src/replicated_state.rs
@@ -59,7 +59,7 @@
     registry.open(name);
     for (export, fields) in &tenant.exports {
         let read = read_export(config, name, export, fields);
-        let added = read.and_then(|read| registry.add(name, read));
+        let added = read.and_then(|read| registry.add(name, read).map_err(|error| error.to_string()));
         if let Err(what) = added {
             tracing::warn!("fleet: tenant {name}, export {export}: {what}; not served by this head");
         }
--- a/crates/sedgerun/src/tenants.rs
+++ b/crates/sedgerun/src/tenants.rs
@@ -1,10 +1,19 @@
-//! Tenants and what they export over 9P: which volume, on which plan, at which shard.
+//! Tenants and what they export over 9P: which volume, on which plan, at which shard. Reads exports from settings and
+//! keeps the registry of those in force.
 
 use sedgerun_config::Pairs;
 use sedgerun_policy::{Idempotency, Settings};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
+/// The largest value of 16 bits: numbers of shards and heads stay within it.
+const MAX_U16: f64 = 65_535.0;
+/// The largest size in bytes that an export may name.
+const MAX_BYTES: f64 = 1e9;
+/// The fewest bytes of a large read, and the bytes that count as one unit, where the export does not say.
+const DEFAULT_LARGE_BYTES: f64 = 32_768.0;
+const DEFAULT_UNIT_BYTES: f64 = 16_384.0;
+
 /// The names that an export may use, and the settings behind them.
 #[derive(Clone, Copy, Debug)]
 pub struct Catalogue<'a> {
@@ -12,7 +21,7 @@
     pub classes: &'a [String],
     /// Names of the plans, in order.
     pub plans: &'a [String],
-    /// The settings of the decisions.
+    /// The settings of the controller.
     pub settings: &'a Settings,
 }
 
@@ -21,7 +30,7 @@
 pub struct Export {
     /// Its name.
     pub name: String,
-    /// The tree's name at the boxes.
+    /// The tree's name at the backends; empty where none is named.
     pub tree: String,
     /// The volume that its requests count for.
     pub volume: u64,
@@ -31,15 +40,15 @@
     pub shard: u32,
     /// Heads through which the volume is used.
     pub heads: f64,
-    /// Class of reads and of what only looks.
+    /// Position of the class of reads, and of other requests that change nothing.
     pub read: usize,
-    /// Class of whatever changes something; it never runs twice.
+    /// Position of the class of changes, which never run twice.
     pub write: usize,
-    /// Class of large reads.
+    /// Position of the class of large reads.
     pub large: usize,
-    /// A read of at least so many bytes is large.
+    /// The fewest bytes of a large read.
     pub large_bytes: u32,
-    /// Bytes to a unit.
+    /// Bytes that count as one unit.
     pub unit_bytes: u32,
     /// The most units of a request.
     pub top_units: f64,
@@ -63,56 +72,105 @@
     ];
 
     /// Reads an export and the tenant it belongs to from the keys under a prefix; faults stay with the pairs.
-    pub(crate) fn read(pairs: &Pairs, prefix: &str, known: Catalogue<'_>) -> (String, Export) {
-        let key = |name: &str| format!("{prefix}{name}");
-        let text = |name: &str| pairs.required(&key(name));
-        let position = |names: &[String], name: &str| {
-            let value = text(name);
-            let found = names.iter().position(|known| known == value);
-            if found.is_none() && !value.is_empty() {
-                pairs.fault(&key(name), format!("setting {} is unknown: {value}", key(name)));
-            }
-            found
-        };
-        let class = |name: &str| position(known.classes, name).unwrap_or(0);
-        let volume = text("volume");
-        let volume = u64::from_str_radix(volume, 16).unwrap_or_else(|_| {
-            if !volume.is_empty() {
-                let what = format!("setting {} is not hexadecimal: {volume}", key("volume"));
-                pairs.fault(&key("volume"), what);
-            }
-            0
-        });
-        let plan = position(known.plans, "plan").unwrap_or(0);
-        let write = position(known.classes, "writeClass");
-        let repeat = write.and_then(|write| known.settings.classes.get(write)).map(|class| class.idempotency);
-        if repeat.is_some_and(|repeat| repeat != Idempotency::NotIdempotent) {
-            let what = format!("setting {} names a class that may run twice", key("writeClass"));
-            pairs.fault(&key("writeClass"), what);
-        }
+    pub(crate) fn read(pairs: &Pairs, prefix: &str, catalogue: Catalogue<'_>) -> (String, Export) {
+        let reader = ExportReader { pairs, prefix, catalogue };
+        let volume = reader.volume();
+        let plan = reader.position("plan", catalogue.plans).unwrap_or(0);
+        let write = reader.write_class().unwrap_or(0);
         let export = Export {
-            name: text("name").to_owned(),
-            tree: pairs.text(&key("tree")).unwrap_or_default().to_owned(),
+            name: reader.text("name").to_owned(),
+            tree: pairs.text(&reader.key("tree")).unwrap_or_default().to_owned(),
             volume,
             plan,
-            shard: pairs.count(&key("shard"), 0.0, 65_535.0, None),
-            heads: f64::from(pairs.count(&key("heads"), 1.0, 65_535.0, Some(1.0))),
-            read: class("readClass"),
-            write: write.unwrap_or(0),
-            large: class("largeClass"),
-            large_bytes: pairs.count(&key("largeBytes"), 1.0, 1e9, Some(32_768.0)),
-            unit_bytes: pairs.count(&key("unitBytes"), 1.0, 1e9, Some(16_384.0)),
-            top_units: known.settings.max_units.max(1.0),
+            shard: reader.count("shard", 0.0, MAX_U16, None),
+            heads: f64::from(reader.count("heads", 1.0, MAX_U16, Some(1.0))),
+            read: reader.class("readClass").unwrap_or(0),
+            write,
+            large: reader.class("largeClass").unwrap_or(0),
+            large_bytes: reader.count("largeBytes", 1.0, MAX_BYTES, Some(DEFAULT_LARGE_BYTES)),
+            unit_bytes: reader.count("unitBytes", 1.0, MAX_BYTES, Some(DEFAULT_UNIT_BYTES)),
+            top_units: catalogue.settings.max_units.max(1.0),
         };
-        (text("tenant").to_owned(), export)
+        (reader.text("tenant").to_owned(), export)
     }
 
-    /// What a request of so many bytes counts.
+    /// The units that a request of so many bytes counts for.
     pub fn units(&self, bytes: u32) -> f64 {
         f64::from(bytes.div_ceil(self.unit_bytes).max(1)).min(self.top_units)
     }
 }
 
+/// Reads one export from its keys; faults stay with the pairs.
+#[derive(Clone, Copy)]
+struct ExportReader<'a> {
+    pairs: &'a Pairs,
+    /// What stands before the export's own keys.
+    prefix: &'a str,
+    catalogue: Catalogue<'a>,
+}
+
+impl<'a> ExportReader<'a> {
+    fn key(&self, name: &str) -> String {
+        format!("{}{name}", self.prefix)
+    }
+
+    fn fault(&self, name: &str, what: &str) {
+        let key = self.key(name);
+        self.pairs.fault(&key, format!("setting {key} {what}"));
+    }
+
+    fn text(&self, name: &str) -> &'a str {
+        self.pairs.required(&self.key(name))
+    }
+
+    fn count(&self, name: &str, min: f64, max: f64, default: Option<f64>) -> u32 {
+        self.pairs.count(&self.key(name), min, max, default)
+    }
+
+    /// The position of the named value among the names that it may have.
+    fn position(&self, name: &str, names: &[String]) -> Option<usize> {
+        let value = self.text(name);
+        let position = names.iter().position(|known| known == value);
+        if position.is_none() && !value.is_empty() {
+            self.fault(name, &format!("is unknown: {value}"));
+        }
+        position
+    }
+
+    fn class(&self, name: &str) -> Option<usize> {
+        self.position(name, self.catalogue.classes)
+    }
+
+    /// The class of changes. Guards against one whose requests may run twice.
+    fn write_class(&self) -> Option<usize> {
+        let position = self.class("writeClass")?;
+        let class = self.catalogue.settings.classes.get(position);
+        if class.is_some_and(|class| class.idempotency != Idempotency::NotIdempotent) {
+            self.fault("writeClass", "names a class that may run twice");
+        }
+        Some(position)
+    }
+
+    fn volume(&self) -> u64 {
+        let text = self.text("volume");
+        u64::from_str_radix(text, 16).unwrap_or_else(|_| {
+            // An empty one is missing, which has been reported already.
+            if !text.is_empty() {
+                self.fault("volume", &format!("is not hexadecimal: {text}"));
+            }
+            0
+        })
+    }
+}
+
+/// An export cannot be added: names of exports are unique over all tenants.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("there is an export {name} already")]
+pub struct DuplicateExport {
+    /// The name that is in use.
+    pub name: String,
+}
+
 /// The tenants and their exports.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct TenantRegistry {
@@ -120,10 +178,10 @@
 }
 
 impl TenantRegistry {
-    /// Adds an export, or says why not.
-    pub fn add(&mut self, tenant: &str, export: Export) -> Result<(), String> {
+    /// Adds an export, and its tenant where that is new. Fails where any tenant has an export of this name.
+    pub fn add(&mut self, tenant: &str, export: Export) -> Result<(), DuplicateExport> {
         if self.export(&export.name).is_some() {
-            return Err(format!("there is an export {} already", export.name));
+            return Err(DuplicateExport { name: export.name });
         }
         let exports = self.tenants.entry(tenant.to_owned()).or_default();
         exports.insert(export.name.clone(), Rc::new(export));
@@ -135,13 +193,13 @@
         &self.tenants
     }
 
-    /// Makes sure that there is such a tenant.
+    /// Adds a tenant without exports, where there is no such tenant.
     pub fn open(&mut self, tenant: &str) {
         self.tenants.entry(tenant.to_owned()).or_default();
     }
 
     /// Removes an export; whether there was one.
-    pub fn remove(&mut self, tenant: &str, export: &str) -> bool {
+    pub fn remove_export(&mut self, tenant: &str, export: &str) -> bool {
         self.tenants.get_mut(tenant).is_some_and(|exports| exports.remove(export).is_some())
     }
 
