--- a/crates/config/src/fault.rs
+++ b/crates/config/src/fault.rs
@@ -1,9 +1,9 @@
-//! What is wrong with a text, and where.
+//! What is wrong with a text of settings, and where: each fault in one line that names its key.
 
 use std::fmt;
 
-/// The most faults that are kept of one text: past them a reader has enough to mend.
-pub const MOST_FAULTS: usize = 100;
+/// The most faults that are kept of one text: a reader has enough to correct with them.
+pub const MAX_FAULTS: usize = 100;
 
 /// A place in a text; both count from 1, columns in bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -19,33 +19,33 @@
     pub fn of(text: &str, offset: usize) -> Place {
         let before = &text.as_bytes()[..offset.min(text.len())];
         let line = before.iter().filter(|byte| **byte == b'\n').count() + 1;
-        let start = before.iter().rposition(|byte| *byte == b'\n').map_or(0, |at| at + 1);
-        Place { line, column: before.len() - start + 1 }
+        let line_start = before.iter().rposition(|byte| *byte == b'\n').map_or(0, |newline| newline + 1);
+        Place { line, column: before.len() - line_start + 1 }
     }
 }
 
 impl fmt::Display for Place {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "line {}, column {}", self.line, self.column)
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(formatter, "line {}, column {}", self.line, self.column)
     }
 }
 
-/// One thing that is wrong, in one plain line.
+/// One thing that is wrong.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
     /// The key that is at fault; empty where the text as a whole is.
     pub key: String,
-    /// The line that says it, which names the key.
+    /// The message, one line that names the key.
     pub what: String,
-    /// Where.
+    /// Where it stands in the text, where that is known.
     pub place: Option<Place>,
 }
 
 impl fmt::Display for Fault {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.place {
-            Some(place) => write!(f, "{} ({place})", self.what),
-            None => f.write_str(&self.what),
+            Some(place) => write!(formatter, "{} ({place})", self.what),
+            None => formatter.write_str(&self.what),
         }
     }
 }
@@ -55,26 +55,26 @@
 pub struct Faults(pub Vec<Fault>);
 
 impl Faults {
-    /// One fault.
+    /// A single fault.
     pub fn one(key: &str, what: impl Into<String>, place: Option<Place>) -> Faults {
         Faults(vec![Fault { key: key.to_owned(), what: what.into(), place }])
     }
 
-    /// The same faults, of a text with a name: that of its file, say.
+    /// The same faults, with the name of the text in each message: that of its file, say.
     pub fn under(mut self, name: &str) -> Faults {
-        self.0.iter_mut().for_each(|fault| {
+        for fault in &mut self.0 {
             let place = fault.place.take().map_or(String::new(), |place| format!(", {place}"));
             fault.what = format!("{} ({name}{place})", fault.what);
-        });
+        }
         self
     }
 }
 
 impl fmt::Display for Faults {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (i, fault) in self.0.iter().enumerate() {
-            let between = if i > 0 { "; " } else { "" };
-            write!(f, "{between}{fault}")?;
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        for (index, fault) in self.0.iter().enumerate() {
+            let separator = if index > 0 { "; " } else { "" };
+            write!(formatter, "{separator}{fault}")?;
         }
         Ok(())
     }
--- a/crates/config/src/form.rs
+++ b/crates/config/src/form.rs
@@ -1,19 +1,19 @@
-//! S-expressions as the settings use them: a form is a list that begins with its name and holds atoms and
-//! further forms, each with its place. Read with lexpr; symbols, strings, numbers and booleans are all texts.
+//! S-expressions as the settings use them: a form is a list that begins with its name and holds atoms and further
+//! forms, each with its place. Parsed with lexpr; symbols, strings, numbers and booleans are all read as text.
 
 use crate::fault::{Faults, Place};
 use lexpr::datum::Ref;
 use lexpr::{Parser, Value};
 
-/// How deep forms may stand in each other: settings need four.
-const MOST_DEPTH: usize = 16;
+/// How deeply forms may be nested: settings need four levels.
+const MAX_DEPTH: usize = 16;
 
 /// A list that begins with a symbol.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Form {
     /// Its first symbol.
     pub name: String,
-    /// Where it begins.
+    /// Where its list begins.
     pub place: Place,
     /// What follows.
     pub items: Vec<Item>,
@@ -29,31 +29,21 @@
 }
 
 impl Form {
-    /// Reads all forms of a text. Comments begin with `;`.
+    /// Reads all forms of a text. Comments begin with `;`. Fails with one fault and its place where the text is not
+    /// made of forms.
     pub fn read(text: &str) -> Result<Vec<Form>, Faults> {
         let mut parser = Parser::from_str(text);
         let mut forms = Vec::new();
-        loop {
-            match parser.next_datum() {
-                Ok(None) => return Ok(forms),
-                Ok(Some(datum)) => match item(datum.as_ref(), 0)? {
-                    Item::Form(form) => forms.push(form),
-                    Item::Atom(text, place) => {
-                        return Err(Faults::one(
-                            &text,
-                            format!("{text} stands outside of any form"),
-                            Some(place),
-                        ));
-                    }
-                },
-                Err(error) => {
-                    let end = || Place::of(text, text.len());
-                    let at = error.location().map(|at| Place { line: at.line(), column: at.column().max(1) });
-                    let what = format!("malformed S-expression: {error}");
-                    return Err(Faults::one("", what, Some(at.unwrap_or_else(end))));
+        while let Some(datum) = parser.next_datum().map_err(|error| syntax_fault(text, &error))? {
+            match read_item(datum.as_ref(), 0)? {
+                Item::Form(form) => forms.push(form),
+                Item::Atom(atom, place) => {
+                    let what = format!("{atom} stands outside of any form");
+                    return Err(Faults::one(&atom, what, Some(place)));
                 }
             }
         }
+        Ok(forms)
     }
 
     /// Its atoms.
@@ -73,72 +63,58 @@
     }
 }
 
-fn item(datum: Ref<'_>, depth: usize) -> Result<Item, Faults> {
+/// The fault of a text that is not an S-expression; at its end where the parser gives no place.
+fn syntax_fault(text: &str, error: &lexpr::parse::Error) -> Faults {
+    let location = error.location().map(|at| Place { line: at.line(), column: at.column().max(1) });
+    let place = location.unwrap_or_else(|| Place::of(text, text.len()));
+    Faults::one("", format!("malformed S-expression: {error}"), Some(place))
+}
+
+fn place_of(datum: Ref<'_>) -> Place {
     let start = datum.span().start();
-    let place = Place { line: start.line(), column: start.column() + 1 };
-    let fault = |what: &str| Err(Faults::one("", what, Some(place)));
-    if depth > MOST_DEPTH {
-        return fault("forms stand too deep in each other");
-    }
-    Ok(match datum.value() {
-        Value::Symbol(text) | Value::String(text) => Item::Atom(text.to_string(), place),
-        Value::Keyword(text) => Item::Atom(format!(":{text}"), place),
-        Value::Number(number) => Item::Atom(number.to_string(), place),
-        Value::Bool(flag) => Item::Atom(flag.to_string(), place),
-        Value::Cons(_) => {
-            let Some(mut parts) = datum.list_iter() else { return fault("a form is a list") };
-            let name = match parts.next().map(|name| item(name, depth + 1)).transpose()? {
-                Some(Item::Atom(name, _)) => name,
-                _ => return fault("a form begins with its name"),
-            };
-            let mut items = Vec::new();
-            let mut end = None;
-            loop {
-                match parts.next() {
-                    // Guards against reading `5x` as a 5 and an x.
-                    Some(part) if end == Some(part.span().start()) && part.list_iter().is_none() => {
-                        let start = part.span().start();
-                        let place = Place { line: start.line(), column: start.column() + 1 };
-                        return Err(Faults::one("", "a space is missing between two values", Some(place)));
-                    }
-                    Some(part) => {
-                        items.push(item(part, depth + 1)?);
-                        end = Some(part.span().end()).filter(|_| part.list_iter().is_none());
-                    }
-                    None if parts.is_empty() => break,
-                    None => return fault("a form has no dot in it"),
-                }
-            }
-            Item::Form(Form { name, place, items })
-        }
-        _ => return fault("neither a form nor a plain value"),
-    })
+    Place { line: start.line(), column: start.column() + 1 }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
+fn fault_at(place: Place, what: &str) -> Faults {
+    Faults::one("", what, Some(place))
+}
 
-    #[test]
-    fn forms_come_with_their_places() {
-        let forms = Form::read("; a comment\n(box \"s-1\" (shard 3)\n  (on #t))").expect("forms");
-        assert_eq!(forms.len(), 1);
-        assert_eq!(forms[0].name, "box");
-        assert_eq!(forms[0].atoms().next(), Some(("s-1", Place { line: 2, column: 6 })));
-        let shard = forms[0].forms().next().expect("a form");
-        assert_eq!((shard.name.as_str(), shard.place), ("shard", Place { line: 2, column: 12 }));
-        assert_eq!(forms[0].forms().nth(1).expect("a form").atoms().next().expect("an atom").0, "true");
+fn read_item(datum: Ref<'_>, depth: usize) -> Result<Item, Faults> {
+    let place = place_of(datum);
+    if depth > MAX_DEPTH {
+        return Err(fault_at(place, "forms stand too deep in each other"));
+    }
+    match datum.value() {
+        Value::Symbol(text) | Value::String(text) => Ok(Item::Atom(text.to_string(), place)),
+        Value::Keyword(text) => Ok(Item::Atom(format!(":{text}"), place)),
+        Value::Number(number) => Ok(Item::Atom(number.to_string(), place)),
+        Value::Bool(flag) => Ok(Item::Atom(flag.to_string(), place)),
+        Value::Cons(_) => read_form(datum, depth).map(Item::Form),
+        _ => Err(fault_at(place, "neither a form nor a plain value")),
     }
+}
 
-    #[test]
-    fn malformed_text_is_said_with_its_place() {
-        for (text, place) in
-            [("(a (b 1)\n", "line 2"), ("(a\n 5x)", "line 2"), ("(a . b)", "line 1"), ("x", "line 1")]
-        {
-            let said = Form::read(text).expect_err(text).to_string();
-            assert!(said.contains(place), "{text:?}: {said}");
+fn read_form(datum: Ref<'_>, depth: usize) -> Result<Form, Faults> {
+    let place = place_of(datum);
+    let mut parts = datum.list_iter().ok_or_else(|| fault_at(place, "a form is a list"))?;
+    let name = match parts.next().map(|name| read_item(name, depth + 1)).transpose()? {
+        Some(Item::Atom(name, _)) => name,
+        _ => return Err(fault_at(place, "a form begins with its name")),
+    };
+    let mut items = Vec::new();
+    // Where the last item ended, if that was an atom.
+    let mut atom_end = None;
+    for part in parts.by_ref() {
+        let is_atom = part.list_iter().is_none();
+        // Guards against reading `5x` as a 5 and an x.
+        if is_atom && atom_end == Some(part.span().start()) {
+            return Err(fault_at(place_of(part), "a space is missing between two values"));
         }
-        let deep = "(a ".repeat(200);
-        assert!(Form::read(&deep).is_err());
+        items.push(read_item(part, depth + 1)?);
+        atom_end = is_atom.then(|| part.span().end());
+    }
+    if !parts.is_empty() {
+        return Err(fault_at(place, "a form has no dot in it"));
     }
+    Ok(Form { name, place, items })
 }
--- a/crates/sedgerun/src/config/mod.rs
+++ b/crates/sedgerun/src/config/mod.rs
@@ -3,7 +3,7 @@
 //! place.
 //!
 //! The platform's JSON is flattened into the `path=value` pairs that the adapter reads, and decoded by the adapter's
-//! own [`settings`](sedgerun_config::pairs::settings). `document` parses the JSON, `reader` reads its keys.
+//! own [`settings`](sedgerun_config::policy_settings::settings). `document` parses the JSON, `reader` reads its keys.
 
 mod document;
 mod reader;
--- a/crates/sedgerun/src/config/reader.rs
+++ b/crates/sedgerun/src/config/reader.rs
@@ -1,8 +1,8 @@
 //! Reads the platform's JSON by its keys and records what is wrong with it. A key at fault reads as its default, so
 //! that reading goes on and every fault is reported.
 
-use sedgerun_config::pairs::settings;
 use sedgerun_config::platform::{flatten, locate};
+use sedgerun_config::policy_settings::settings;
 use sedgerun_config::{Fault, Faults, Pairs};
 use sedgerun_policy::Settings;
 use serde_json::Value;
--- a/crates/testbed/src/draw.rs
+++ b/crates/testbed/src/draw.rs
@@ -11,7 +11,7 @@
 use rand::{Rng, RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp, LogNormal};
-use sedgerun_config::pairs::settings;
+use sedgerun_config::policy_settings::settings;
 use sedgerun_config::{Faults, Pairs, platform};
 use sedgerun_policy::{Micros, Settings};
 use serde_json::{Value, json};
