--- a/crates/sedgerun/src/head/mod.rs
+++ b/crates/sedgerun/src/head/mod.rs
@@ -179,7 +179,7 @@
 
     fn start_discovery(&mut self, address: watch::Receiver<SocketAddr>) {
         let mut discovery = Discovery::new(Rc::clone(&self.dispatch), Rc::clone(&self.config));
-        discovery.take_known(self.known_endpoints.take());
+        discovery.load_cached(self.known_endpoints.take());
         actix_rt::spawn(discovery.run(address));
     }
 
--- a/crates/sedgerun/src/replicated_state.rs
+++ b/crates/sedgerun/src/replicated_state.rs
@@ -102,7 +102,8 @@
     registry.open(name);
     for (export_name, fields) in &tenant.exports {
         let export = read_export(config, name, export_name, fields);
-        if let Err(error) = export.and_then(|export| registry.add(name, export)) {
+        let added = export.and_then(|export| registry.add(name, export).map_err(|error| error.to_string()));
+        if let Err(error) = added {
             tracing::warn!("fleet: tenant {name}, export {export_name}: {error}; not served by this head");
         }
     }
