--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -6,6 +6,7 @@
 
 mod action;
 mod attempt;
+mod backend;
 pub mod controller;
 mod event;
 pub mod fair_share;
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -27,6 +27,16 @@
     pub usage_report_period: Micros,
 }
 
+/// The least mean size of a request that is calculated with, against settings without one.
+const LEAST_MEAN_UNITS: f64 = 1e-3;
+
+impl Settings {
+    /// Mean units of a request, above 0: safe to divide by.
+    pub(crate) fn mean_units_or_least(&self) -> f64 {
+        self.mean_units.max(LEAST_MEAN_UNITS)
+    }
+}
+
 /// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
