--- /dev/null
+++ b/crates/cluster/src/change/batch.rs
@@ -0,0 +1,98 @@
+//! Batches of changes, as the leader writes them: changes that wait at the same time become one entry of the log and
+//! share its syncs at each voter.
+
+use super::CHANGE_TIMEOUT;
+use super::error::CommitError;
+use crate::disk::crash_point;
+use crate::member::Member;
+use crate::types::{PeerResponse, RaftTypes, VoterAddress};
+use openraft::error::{ClientWriteError, RaftError};
+use openraft::raft::ClientWriteResponse;
+use sedgerun_replication::state::{Change, ChangeOutcome};
+use sedgerun_replication::store::StoreId;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::sync::{Semaphore, mpsc, oneshot};
+use tokio::time::error::Elapsed;
+
+/// Changes that wait to be written, at most; past it their senders wait.
+pub const MAX_WAITING_CHANGES: usize = 1024;
+/// Changes of one entry, at most.
+const MAX_BATCH: usize = 256;
+/// Entries in flight, at most.
+const MAX_ENTRIES_IN_FLIGHT: usize = 2;
+
+type CommitResult = Result<ChangeOutcome, CommitError>;
+type ClientWriteResult =
+    Result<ClientWriteResponse<RaftTypes>, RaftError<StoreId, ClientWriteError<StoreId, VoterAddress>>>;
+
+/// A change that waits to be written.
+pub struct PendingChange {
+    change: Change,
+    /// Receives its outcome.
+    result: oneshot::Sender<CommitResult>,
+}
+
+impl Member {
+    /// Makes a change through this head as leader, in a batch with those that wait at the same time.
+    pub(super) async fn commit(&self, change: Change) -> CommitResult {
+        let (result, committed) = oneshot::channel();
+        self.changes.send(PendingChange { change, result }).await.map_err(|_| CommitError::Ended)?;
+        let committed = committed.await.map_err(|_| CommitError::Ended)?;
+        crash_point("before the answer to a client");
+        committed
+    }
+
+    /// Makes a change for another head, as leader, in `left_ms` milliseconds.
+    pub async fn change_for_peer(&self, change: Change, left_ms: u64) -> PeerResponse {
+        let left = Duration::from_millis(left_ms).min(CHANGE_TIMEOUT);
+        let committed = tokio::time::timeout(left, self.commit(change)).await;
+        match committed.unwrap_or(Err(CommitError::NoMajority)) {
+            Ok(outcome) => PeerResponse::Changed(outcome),
+            Err(CommitError::NotLeader(leader)) => PeerResponse::NotLeader(leader),
+            Err(error) => PeerResponse::Refused(error.to_string()),
+        }
+    }
+
+    /// Writes waiting changes in batches, for as long as the future is polled. The next batch is gathered while the last
+    /// one is in flight.
+    pub async fn write_batches(self: Arc<Self>, mut waiting: mpsc::Receiver<PendingChange>) {
+        let in_flight = Arc::new(Semaphore::new(MAX_ENTRIES_IN_FLIGHT));
+        while let Some(first) = waiting.recv().await {
+            let Ok(permit) = Arc::clone(&in_flight).acquire_owned().await else { return };
+            let (mut changes, mut results) = (vec![first.change], vec![first.result]);
+            while changes.len() < MAX_BATCH {
+                let Ok(PendingChange { change, result }) = waiting.try_recv() else { break };
+                changes.push(change);
+                results.push(result);
+            }
+            let member = Arc::clone(&self);
+            tokio::spawn(async move {
+                // Guards against an entry that is never answered, as when this head loses the leadership: it would keep
+                // its permit for good.
+                let written = tokio::time::timeout(CHANGE_TIMEOUT, member.raft.client_write(changes)).await;
+                drop(permit);
+                send_results(written, results);
+            });
+        }
+    }
+}
+
+/// Sends the result of a batch to all that wait for its changes.
+fn send_results(written: Result<ClientWriteResult, Elapsed>, results: Vec<oneshot::Sender<CommitResult>>) {
+    let error = match written {
+        Ok(Ok(written)) => {
+            for (result, outcome) in results.into_iter().zip(written.data) {
+                // The caller may have stopped waiting.
+                let _ = result.send(Ok(outcome));
+            }
+            return;
+        }
+        Ok(Err(RaftError::APIError(ClientWriteError::ForwardToLeader(leader)))) => {
+            CommitError::NotLeader(leader.leader_node)
+        }
+        Ok(Err(error)) => CommitError::Raft(Box::new(error)),
+        Err(_) => CommitError::NoMajority,
+    };
+    results.into_iter().for_each(|result| drop(result.send(Err(error.clone()))));
+}
--- /dev/null
+++ b/crates/cluster/src/change/read.rs
@@ -0,0 +1,71 @@
+//! Linearizable reads: a head waits until it has all that was committed when the read began.
+
+use super::error::{LinearizableReadError, ProposeError, Unsettled};
+use super::{CHANGE_TIMEOUT, RETRY_INTERVAL};
+use crate::member::Member;
+use crate::types::{PeerRequest, PeerResponse};
+use sedgerun_replication::follow::Peer;
+use std::time::Duration;
+use tokio::time::Instant;
+
+impl Member {
+    /// The version that every read from now on must see, confirmed by this head as leader.
+    ///
+    /// # Errors
+    /// This head does not lead, or a majority did not confirm it in time.
+    pub async fn linearizable_version(&self) -> Result<u64, LinearizableReadError> {
+        let confirmed = tokio::time::timeout(CHANGE_TIMEOUT, self.raft.ensure_linearizable()).await;
+        confirmed.map_err(|_| LinearizableReadError::NoMajority)?.map_err(Box::new)?;
+        Ok(self.state_machine.applied_version())
+    }
+
+    /// Waits until this head has all that was committed when this was called; returns the version.
+    ///
+    /// # Errors
+    /// It did not come that far in time.
+    pub async fn latest(&self) -> Result<u64, Unsettled> {
+        let begun = Instant::now();
+        let mut last_error = ProposeError::NoLeader;
+        while let Some(left) = CHANGE_TIMEOUT.checked_sub(begun.elapsed()).filter(|left| !left.is_zero()) {
+            if self.votes() {
+                match self.linearizable_version().await {
+                    Ok(version) => return Ok(version),
+                    Err(error) => last_error = error.into(),
+                }
+            }
+            if let Some(leader) = self.leader() {
+                match self.latest_version_at(&leader, left).await {
+                    Ok(version) => {
+                        let left = CHANGE_TIMEOUT.saturating_sub(begun.elapsed());
+                        return self.at_least(version, left).await;
+                    }
+                    Err(error) => last_error = error,
+                }
+            }
+            tokio::time::sleep(RETRY_INTERVAL).await;
+        }
+        Err(last_error.into())
+    }
+
+    async fn latest_version_at(&self, leader: &Peer, left: Duration) -> Result<u64, ProposeError> {
+        match self.request_to_leader(leader, &PeerRequest::Latest, left).await? {
+            PeerResponse::Latest(version) => Ok(version),
+            PeerResponse::Refused(why) => Err(ProposeError::Refused(why)),
+            _ => Err(ProposeError::UnexpectedResponse),
+        }
+    }
+
+    /// Waits until this head has a version; returns the version that it has then.
+    ///
+    /// # Errors
+    /// It did not come that far in time.
+    pub async fn at_least(&self, version: u64, timeout: Duration) -> Result<u64, Unsettled> {
+        let mut versions = self.state_machine.version();
+        let reached = versions.wait_for(|current| *current >= version);
+        if let Ok(Ok(current)) = tokio::time::timeout(timeout, reached).await {
+            return Ok(*current);
+        }
+        let current = self.state_machine.read(|view| view.version);
+        Err(ProposeError::Behind { version: current, wanted: version }.into())
+    }
+}
--- /dev/null
+++ b/crates/cluster/src/disk/contents.rs
@@ -0,0 +1,161 @@
+//! What a store contains, and how it is read when it is opened.
+
+use super::error::StoreError;
+use super::key;
+use crate::environment::random;
+use crate::types::{Entry, LogId, SnapshotMeta, Vote};
+use redb::{Database, ReadOnlyTable, ReadTransaction, ReadableDatabase, ReadableTable, TableDefinition};
+use sedgerun_replication::record::{self, RecordType};
+use sedgerun_replication::store::StoreId;
+use sedgerun_replication::view::View;
+use sedgerun_replication::watermark::{Watermark, Watermarks};
+use serde::de::DeserializeOwned;
+use serde::{Deserialize, Serialize};
+use std::collections::BTreeMap;
+
+/// Records by name ([`key`]).
+pub(super) const META: TableDefinition<'_, &str, &[u8]> = TableDefinition::new("meta");
+/// Log entries by index.
+pub(super) const LOG: TableDefinition<'_, u64, &[u8]> = TableDefinition::new("log");
+
+/// The identity of a store.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct Identity {
+    /// Its number, drawn once.
+    pub store: StoreId,
+    /// Counted up at each start.
+    pub incarnation: u64,
+    /// Origin of the cluster whose state it has.
+    pub origin: Option<u64>,
+}
+
+/// What a store contained when it was opened.
+pub struct OpenedStore {
+    /// Its identity, in its new incarnation.
+    pub identity: Identity,
+    /// The last vote.
+    pub vote: Option<Vote>,
+    /// The last entry known to be committed.
+    pub committed: Option<LogId>,
+    /// The last entry that a snapshot replaced.
+    pub purged: Option<LogId>,
+    /// The log, by index.
+    pub log: BTreeMap<u64, Entry>,
+    /// What is remembered of other stores.
+    pub watermarks: Watermarks,
+    /// The last snapshot and its encoded state.
+    pub snapshot: Option<(SnapshotMeta, Vec<u8>)>,
+    /// What it received as a follower.
+    pub followed: View,
+}
+
+impl OpenedStore {
+    /// How far the store was when it was opened.
+    pub fn watermark(&self) -> Watermark {
+        let snapshot = self.snapshot.as_ref().and_then(|(meta, _)| meta.last_log_id);
+        let last = self.log.values().next_back().map(|entry| entry.log_id).max(self.purged).max(snapshot);
+        let position = |at: LogId| (at.leader_id.term, at.index);
+        Watermark {
+            vote: self.vote.map_or(0, |vote| vote.leader_id().term),
+            last: last.map_or((0, 0), position),
+        }
+    }
+
+    /// Reads all that a database contains. Its identity is still that of the last incarnation.
+    pub(super) fn read(database: &Database) -> Result<OpenedStore, StoreError> {
+        create_tables(database)?;
+        let transaction = database.begin_read().map_err(redb::Error::from)?;
+        let records = Records { meta: transaction.open_table(META).map_err(redb::Error::from)? };
+        let log = read_log(&transaction)?;
+        let identity = match records.read(RecordType::Identity, key::IDENTITY)? {
+            Some(identity) => identity,
+            None if !log.is_empty() => return Err(StoreError::MissingIdentity),
+            None => Identity { store: random()?, incarnation: 0, origin: None },
+        };
+        Ok(OpenedStore {
+            identity,
+            snapshot: records.read_snapshot()?,
+            vote: records.read(RecordType::Vote, key::VOTE)?,
+            committed: records.read(RecordType::Position, key::COMMITTED)?,
+            purged: records.read(RecordType::Position, key::PURGED)?,
+            log,
+            watermarks: records.read(RecordType::Watermarks, key::WATERMARKS)?.unwrap_or_default(),
+            followed: records.read(RecordType::View, key::VIEW)?.unwrap_or_default(),
+        })
+    }
+}
+
+/// Creates the tables of a new database.
+fn create_tables(database: &Database) -> Result<(), redb::Error> {
+    let transaction = database.begin_write()?;
+    transaction.open_table(META)?;
+    transaction.open_table(LOG)?;
+    transaction.commit()?;
+    Ok(())
+}
+
+fn read_log(transaction: &ReadTransaction) -> Result<BTreeMap<u64, Entry>, StoreError> {
+    let mut log = BTreeMap::new();
+    let entries = transaction.open_table(LOG).map_err(redb::Error::from)?;
+    for entry in entries.iter().map_err(redb::Error::from)? {
+        let (index, bytes) = entry.map_err(redb::Error::from)?;
+        let index = index.value();
+        let entry = record::open(RecordType::Entry, bytes.value())
+            .map_err(|source| StoreError::CorruptEntry { index, source })?;
+        log.insert(index, entry);
+    }
+    Ok(log)
+}
+
+/// The records beside the log.
+struct Records {
+    meta: ReadOnlyTable<&'static str, &'static [u8]>,
+}
+
+impl Records {
+    fn read<T: DeserializeOwned>(
+        &self,
+        record_type: RecordType,
+        key: &'static str,
+    ) -> Result<Option<T>, StoreError> {
+        self.read_as(record_type, key, key)
+    }
+
+    /// Reads a record that errors call by another name than its key.
+    fn read_as<T: DeserializeOwned>(
+        &self,
+        record_type: RecordType,
+        key: &'static str,
+        name: &'static str,
+    ) -> Result<Option<T>, StoreError> {
+        let Some(bytes) = self.meta.get(key).map_err(redb::Error::from)? else { return Ok(None) };
+        let value = record::open(record_type, bytes.value())
+            .map_err(|source| StoreError::CorruptRecord { key: name, source })?;
+        Ok(Some(value))
+    }
+
+    fn read_snapshot(&self) -> Result<Option<(SnapshotMeta, Vec<u8>)>, StoreError> {
+        let Some(meta) = self.read(RecordType::SnapshotHead, key::SNAPSHOT_META)? else { return Ok(None) };
+        let state = self.read_as(RecordType::Snapshot, key::SNAPSHOT_STATE, "snapshot state")?;
+        Ok(Some((meta, state.ok_or(StoreError::MissingSnapshotState)?)))
+    }
+}
+
+/// Replaces all that a store contains by these records, in one transaction.
+///
+/// # Errors
+/// The database cannot be written; then nothing is replaced.
+pub fn replace(database: &Database, records: &[(&str, Vec<u8>)]) -> Result<(), redb::Error> {
+    let mut transaction = database.begin_write()?;
+    transaction.set_quick_repair(true);
+    {
+        let (mut meta, mut log) = (transaction.open_table(META)?, transaction.open_table(LOG)?);
+        meta.retain(|_, _| false)?;
+        log.retain(|_, _| false)?;
+        for (name, bytes) in records {
+            meta.insert(*name, bytes.as_slice())?;
+        }
+    }
+    transaction.commit()?;
+    Ok(())
+}
--- a/crates/cluster/src/follow.rs
+++ b/crates/cluster/src/follow.rs
@@ -1,34 +1,70 @@
-//! Following: a head without a vote polls an upstream for updates.
+//! Following, as a head without a vote does: it polls an upstream for updates and applies them.
+//!
+//! Which head to poll and what to accept is decided by [`Follower`](sedgerun_replication::follow::Follower); here are the
+//! connections, the requests in the form that each upstream knows, and the saving of what was received.
 
-use super::environment::now;
-use super::member::Member;
-use super::peer_connection::{CallError, PeerConnection};
-use super::types::{Call, Reply, UpdateRequest};
-use sedgerun_replication::follow::{ANSWER_TIMEOUT_MS, Downstream, FollowerStep, Peer, UpstreamPoll};
+use crate::disk::key;
+use crate::environment::now;
+use crate::member::{AdoptError, Member};
+use crate::peer_connection::{PeerConnection, RequestError};
+use crate::types::{PeerRequest, PeerResponse, UpdateRequest};
+use sedgerun_replication::follow::{
+    ANSWER_TIMEOUT_MS, Downstream, FollowerStep, Peer, Rejection, UpstreamPoll,
+};
 use sedgerun_replication::record::RecordType;
 use sedgerun_replication::subscribe::{
     LegacyPeers, RELAY_WAIT_MS, SubscribeReply, Subscription, SummaryReporter, Update,
 };
 use std::collections::BTreeMap;
+use std::io;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
+use thiserror::Error;
 use tokio::time::Instant;
 
-/// A voter that has heard no leader for so long, in milliseconds, asks others whether it is one still.
+/// A voter without a heartbeat of a leader for this long, in milliseconds, polls others to learn whether it still votes.
 const LEADER_SILENCE_MS: u64 = 2000;
-/// Between checks of whether to follow.
+/// Time between checks of whether to follow.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
-/// Between the polls in which a follower reports its subtree to an upstream of an earlier version.
+/// The shortest sleep between two steps of the follower.
+const MIN_SLEEP: Duration = Duration::from_millis(5);
+/// Time between polls in which a follower reports its subtree to an upstream of an earlier version.
 const REPORT_INTERVAL: Duration = Duration::from_secs(1);
-/// Between writes of what is held, at least.
+/// The shortest time between two writes of the view.
 const SAVE_INTERVAL: Duration = Duration::from_secs(1);
-/// The pause between writes is at least so many times the length of the last one.
+/// The pause after a write of the view is at least this many times as long as the write.
 const SAVE_COST_FACTOR: u32 = 20;
 
+/// Why a poll did not bring an update.
+#[derive(Debug, Error)]
+enum PollError {
+    /// The address of the head is malformed.
+    #[error("it has no address")]
+    NoAddress,
+    /// The head cannot be reached, or rejects this one.
+    #[error(transparent)]
+    Dial(io::Error),
+    /// The head did not answer.
+    #[error(transparent)]
+    Request(#[from] RequestError),
+    /// The head refuses the poll, for this reason.
+    #[error("{0}")]
+    Refused(String),
+    /// The response does not fit the request.
+    #[error("an answer to something else")]
+    UnexpectedResponse,
+    /// The head's cluster is not this one's, or its origin cannot be saved.
+    #[error(transparent)]
+    Adopt(#[from] AdoptError),
+    /// The head is not followed.
+    #[error(transparent)]
+    Rejected(#[from] Rejection),
+}
+
 /// Connections to the heads that are polled, and what was sent to them.
 #[derive(Default)]
-struct Polling {
-    /// To the upstream, and to one that is probed beside it; by name.
+struct PollingState {
+    /// To the upstream, and to a head that is probed beside it; by name.
     connections: BTreeMap<String, PeerConnection>,
     /// Heads of earlier versions, which do not know subscriptions.
     legacy: LegacyPeers,
@@ -40,89 +76,98 @@
 }
 
 impl Member {
-    /// Follows for as long as this head does not vote.
+    /// Follows while this head does not vote, for as long as the future is polled.
     pub async fn follow(&self) {
-        let mut polling = Polling::default();
+        let mut polling = PollingState::default();
         loop {
-            let alone = self.election().leader_silence(now()) > LEADER_SILENCE_MS && !self.leads();
-            if self.votes() && !alone {
+            let misses_leader = self.election().leader_silence(now()) > LEADER_SILENCE_MS && !self.leads();
+            if self.votes() && !misses_leader {
                 polling.connections.clear();
                 tokio::time::sleep(POLL_INTERVAL).await;
                 continue;
             }
             let serves_followers = self.followers().count(now()) > 0;
-            let next = self.machine.read(|view| self.follower().next_step(now(), view, serves_followers));
-            let poll = match next {
+            let step =
+                self.state_machine.read(|view| self.follower().next_step(now(), view, serves_followers));
+            let poll = match step {
                 FollowerStep::Wait(until) => {
                     let wait = Duration::from_millis(until.saturating_sub(now()));
-                    tokio::time::sleep(wait.clamp(Duration::from_millis(5), POLL_INTERVAL)).await;
+                    tokio::time::sleep(wait.clamp(MIN_SLEEP, POLL_INTERVAL)).await;
                     continue;
                 }
                 FollowerStep::Poll(poll) => poll,
             };
-            if let Err(why) = self.poll_upstream(&mut polling, &poll).await {
-                tracing::debug!("fleet: not following {}: {why}", poll.peer.head);
+            if let Err(error) = self.poll_upstream(&mut polling, &poll).await {
+                tracing::debug!("fleet: not following {}: {error}", poll.peer.head);
             }
             let upstream = self.follower().upstream().map(|upstream| upstream.head.clone());
             polling.connections.retain(|head, _| Some(head) == upstream.as_ref());
         }
     }
 
-    async fn poll_upstream(&self, polling: &mut Polling, poll: &UpstreamPoll) -> Result<(), String> {
+    async fn poll_upstream(&self, polling: &mut PollingState, poll: &UpstreamPoll) -> Result<(), PollError> {
         let reply = match self.exchange(polling, poll).await {
             Ok(reply) => reply,
-            Err(why) => {
+            Err(error) => {
                 self.follower().on_failure(now());
                 polling.reported_to = None;
-                return Err(why);
+                return Err(error);
             }
         };
-        let taken = self.machine.update_followed(|view| self.follower().on_reply(now(), view, reply));
-        taken.map_err(|rejection| rejection.to_string())?;
-        let (own, at) = (self.raft_id(), self.machine.membership().log_id().map_or(0, |at| at.index));
-        if self.votes() && self.follower().voters.excludes(own, at) {
-            tracing::warn!("fleet: others have taken this keeper's place; it follows");
-            self.removed.store(true, Ordering::SeqCst);
-        }
+        self.state_machine.update_followed(|view| self.follower().on_reply(now(), view, reply))?;
+        self.check_still_voter();
         Ok(())
     }
 
-    /// One poll and its answer, in the way that the other end knows.
-    async fn exchange(&self, polling: &mut Polling, poll: &UpstreamPoll) -> Result<SubscribeReply, String> {
-        let to = self.links.route(&poll.peer.head, &poll.peer.address).ok_or("it has no address")?;
+    /// Stops voting if the upstream knows newer voters without this store.
+    fn check_still_voter(&self) {
+        let log_index = self.state_machine.membership().log_id().map_or(0, |at| at.index);
+        if self.votes() && self.follower().voters.excludes(self.raft_id(), log_index) {
+            tracing::warn!("fleet: others have taken this voter's place; it follows");
+            self.is_removed.store(true, Ordering::SeqCst);
+        }
+    }
+
+    /// Sends one poll in the form that the other end knows, and reads the answer.
+    async fn exchange(
+        &self,
+        polling: &mut PollingState,
+        poll: &UpstreamPoll,
+    ) -> Result<SubscribeReply, PollError> {
+        let to = self.links.route(&poll.peer.head, &poll.peer.address).ok_or(PollError::NoAddress)?;
         let head = &poll.peer.head;
         let mut connection = match polling.connections.remove(head) {
             Some(connection) => connection,
-            None => PeerConnection::dial(&self.links, to).await.map_err(|error| error.to_string())?,
+            None => PeerConnection::dial(&self.links, to).await.map_err(PollError::Dial)?,
         };
         let incarnation = connection.incarnation();
-        let mut reply = Err(CallError::Hangup);
+        let mut response = Err(RequestError::Hangup);
         if !polling.legacy.contains(now(), head, incarnation) {
-            let call = self.subscription(polling, poll);
-            reply = connection.call(&call, timeout(poll.wait)).await;
-            if matches!(reply, Err(CallError::Hangup)) {
+            let request = self.subscription(polling, poll);
+            response = connection.request(&request, response_timeout(poll.wait)).await;
+            if matches!(response, Err(RequestError::Hangup)) {
                 polling.legacy.remember(now(), head, incarnation);
-                connection =
-                    PeerConnection::dial(&self.links, to).await.map_err(|error| error.to_string())?;
+                connection = PeerConnection::dial(&self.links, to).await.map_err(PollError::Dial)?;
             }
         }
-        if matches!(reply, Err(CallError::Hangup)) {
-            let call = self.update_request(polling, poll);
-            reply = connection.call(&call, timeout(poll.wait.min(RELAY_WAIT_MS))).await;
+        if matches!(response, Err(RequestError::Hangup)) {
+            let request = self.update_request(polling, poll);
+            let timeout = response_timeout(poll.wait.min(RELAY_WAIT_MS));
+            response = connection.request(&request, timeout).await;
         }
-        let reply = self.read_reply(reply.map_err(|error| error.to_string())?).await?;
+        let reply = self.read_response(response?).await?;
         polling.connections.insert(head.clone(), connection);
         Ok(reply)
     }
 
-    async fn read_reply(&self, reply: Reply) -> Result<SubscribeReply, String> {
-        let reply = match reply {
-            Reply::Subscribed(reply) => reply,
-            Reply::Update(origin, reply) => reply.into_subscribe_reply(origin),
-            Reply::Refused(why) => return Err(why),
-            _ => return Err("an answer to something else".into()),
+    async fn read_response(&self, response: PeerResponse) -> Result<SubscribeReply, PollError> {
+        let reply = match response {
+            PeerResponse::Subscribed(reply) => reply,
+            PeerResponse::Update(origin, reply) => reply.into_subscribe_reply(origin),
+            PeerResponse::Refused(why) => return Err(PollError::Refused(why)),
+            _ => return Err(PollError::UnexpectedResponse),
         };
-        // From its first update on a head is of that fleet and of no other.
+        // From its first update on a head belongs to that cluster and to no other.
         if let SubscribeReply::Update(Update { route: Some(route), .. }) = &reply
             && route.origin.is_some()
         {
@@ -131,13 +176,13 @@
         Ok(reply)
     }
 
-    fn subscription(&self, polling: &mut Polling, poll: &UpstreamPoll) -> Call {
+    fn subscription(&self, polling: &mut PollingState, poll: &UpstreamPoll) -> PeerRequest {
         let (role, region, cached, upstream) = {
             let follower = self.follower();
             let upstream = follower.upstream().map(|upstream| upstream.head.clone());
             (follower.role(), follower.region().map(str::to_owned), follower.cached_digests(), upstream)
         };
-        // A head that is only probed is told nothing of the subtree.
+        // A head that is only probed does not receive the summary of the subtree.
         let is_upstream = upstream.as_ref() == Some(&poll.peer.head);
         if is_upstream && polling.reported_to != upstream {
             polling.reporter.reset();
@@ -145,35 +190,35 @@
         }
         let summary = self.followers().summary(now());
         let summary = if is_upstream { polling.reporter.due(now(), summary) } else { None };
-        Call::Subscribe(Box::new(Subscription {
+        PeerRequest::Subscribe(Box::new(Subscription {
             role,
             region,
-            version: self.machine.read(|view| view.version),
+            version: self.state_machine.read(|view| view.version),
             since: poll.since,
             first_version: poll.first_version,
             wait: poll.wait,
             cached,
-            // A voter that asks whether it is one still wants an answer, not an upstream.
+            // A voter that polls to learn whether it still votes needs an answer, not an upstream.
             bypass_relays: poll.bypass_relays || self.votes(),
             summary,
         }))
     }
 
-    /// The same poll in the words of earlier versions.
-    fn update_request(&self, polling: &mut Polling, poll: &UpstreamPoll) -> Call {
+    /// The same poll in the form of earlier versions.
+    fn update_request(&self, polling: &mut PollingState, poll: &UpstreamPoll) -> PeerRequest {
         let own = self.links.own();
         let follower = Downstream {
             at: Peer { head: own.head, address: own.address },
             store: self.raft_id(),
             zone: own.zone,
-            version: self.machine.read(|view| view.version),
+            version: self.state_machine.read(|view| view.version),
             incarnation: own.incarnation.count,
         };
         let reports = polling.reported_at.is_none_or(|reported| reported.elapsed() >= REPORT_INTERVAL);
         if reports {
             polling.reported_at = Some(Instant::now());
         }
-        Call::Follow(Box::new(UpdateRequest {
+        PeerRequest::Follow(Box::new(UpdateRequest {
             follower,
             subtree: reports.then(|| self.followers().subtree(now())),
             since: poll.since,
@@ -182,26 +227,28 @@
         }))
     }
 
-    /// Writes down what this head holds as a follower, so that it serves at its next start whoever is there.
+    /// Saves the view that this head receives as a follower, for as long as the future is polled, so that at its next
+    /// start it serves clients whether or not it reaches others.
     pub async fn save_followed(&self) {
-        let mut written = self.machine.followed_version();
+        let mut saved_version = self.state_machine.followed_version();
         let mut pause = SAVE_INTERVAL;
         loop {
             tokio::time::sleep(pause).await;
-            if self.machine.followed_version() == written {
+            if self.state_machine.followed_version() == saved_version {
                 continue;
             }
-            let Some(followed) = self.machine.followed() else { continue };
+            let Some(followed) = self.state_machine.followed() else { continue };
             let begun = Instant::now();
-            if let Err(what) = self.disk.put(RecordType::View, "view", &followed).await {
-                tracing::error!("fleet: what this head holds is not written down: {what}");
+            if let Err(error) = self.disk.put(RecordType::View, key::VIEW, &followed).await {
+                tracing::error!("fleet: what this head holds is not written down: {error}");
             }
-            written = followed.version;
+            saved_version = followed.version;
             pause = SAVE_INTERVAL.max(begun.elapsed() * SAVE_COST_FACTOR);
         }
     }
 }
 
-fn timeout(wait: u64) -> Duration {
-    Duration::from_millis(wait + ANSWER_TIMEOUT_MS)
+/// Time for the response to a poll that waits for `wait_ms` milliseconds at the other end.
+fn response_timeout(wait_ms: u64) -> Duration {
+    Duration::from_millis(wait_ms + ANSWER_TIMEOUT_MS)
 }
--- a/crates/cluster/src/frame.rs
+++ b/crates/cluster/src/frame.rs
@@ -1,8 +1,9 @@
-//! Frames on a connection between heads: a length, then a sealed record; a call, then its answer.
+//! Frames on a connection between heads: the length of a record (4 bytes, little-endian), then the record. Requests and
+//! responses alternate.
 
-use super::environment::Connection;
-use super::types::{Call, Reply};
+use crate::environment::Connection;
 use crate::traffic::Counted;
+use crate::types::{PeerRequest, PeerResponse};
 use sedgerun_replication::record::{self, RecordType};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -10,20 +11,23 @@
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-/// The largest frame, bytes.
-const MAX_FRAME: usize = 16 << 20;
+/// The largest frame, in bytes.
+const MAX_FRAME_BYTES: usize = 16 << 20;
 
-/// A connection to another head whose payload and messages are counted.
+/// A connection to another head whose traffic is counted.
 pub type CountedConnection = Counted<Connection>;
 
 /// Writes one frame.
+///
+/// # Errors
+/// The value cannot be encoded or is too large, or the connection fails.
 pub async fn send<T: Serialize>(
     stream: &mut CountedConnection,
     record_type: RecordType,
     value: &T,
 ) -> io::Result<()> {
     let record = record::seal(record_type, value).map_err(io::Error::other)?;
-    if record.len() > MAX_FRAME {
+    if record.len() > MAX_FRAME_BYTES {
         return Err(io::Error::other(format!("a frame of {} bytes is too long", record.len())));
     }
     let mut frame = (record.len() as u32).to_le_bytes().to_vec();
@@ -33,34 +37,43 @@
     Ok(())
 }
 
-/// Reads one frame. A malformed one is an error of the kind `InvalidData`.
+/// Reads one frame.
+///
+/// # Errors
+/// The frame is corrupt (`InvalidData`), or the connection fails.
 pub async fn receive<T: DeserializeOwned>(
     stream: &mut CountedConnection,
     record_type: RecordType,
 ) -> io::Result<T> {
-    let corrupt = |what: String| io::Error::new(io::ErrorKind::InvalidData, what);
     let length = stream.read_u32_le().await? as usize;
-    if length > MAX_FRAME {
-        return Err(corrupt(format!("a frame of {length} bytes")));
+    if length > MAX_FRAME_BYTES {
+        let what = format!("a frame of {length} bytes");
+        return Err(io::Error::new(io::ErrorKind::InvalidData, what));
     }
     let mut record = Vec::new();
-    // Guards against a length that was made up: memory grows with what really comes.
+    // Guards against a forged length: memory grows with what really arrives.
     (&mut *stream).take(length as u64).read_to_end(&mut record).await?;
     if record.len() < length {
         return Err(io::ErrorKind::UnexpectedEof.into());
     }
     stream.traffic().add_message_received();
-    record::open(record_type, &record).map_err(|error| corrupt(error.to_string()))
+    record::open(record_type, &record).map_err(|corrupt| io::Error::new(io::ErrorKind::InvalidData, corrupt))
 }
 
-/// Sends a call and reads its answer. After an error the connection is of no use.
-pub async fn exchange(stream: &mut CountedConnection, call: &Call) -> io::Result<Reply> {
-    send(stream, RecordType::Call, call).await?;
+/// Sends a request and reads its response.
+///
+/// # Errors
+/// As of [`send`] and [`receive`]; after one the connection must not be used any more.
+pub async fn exchange(stream: &mut CountedConnection, request: &PeerRequest) -> io::Result<PeerResponse> {
+    send(stream, RecordType::Call, request).await?;
     receive(stream, RecordType::Reply).await
 }
 
-/// The outcome of an operation on a connection, or an error of the kind `TimedOut` after this time.
-pub async fn within<T>(limit: Duration, operation: impl Future<Output = io::Result<T>>) -> io::Result<T> {
+/// Limits the time of an operation on a connection.
+///
+/// # Errors
+/// Those of the operation, or `TimedOut` after this time.
+pub async fn within<T>(timeout: Duration, operation: impl Future<Output = io::Result<T>>) -> io::Result<T> {
     let timed_out = |_| Err(io::Error::from(io::ErrorKind::TimedOut));
-    tokio::time::timeout(limit, operation).await.unwrap_or_else(timed_out)
+    tokio::time::timeout(timeout, operation).await.unwrap_or_else(timed_out)
 }
--- /dev/null
+++ b/crates/cluster/src/handle/metrics.rs
@@ -0,0 +1,39 @@
+//! Figures of the cluster for `show-stat`. Their names are part of what operators read.
+
+use super::ClusterHandle;
+
+/// Names of the traffic between this head and others of the cluster.
+const CLUSTER_TRAFFIC: [&str; 4] =
+    ["fleet_bytes_received", "fleet_bytes_sent", "fleet_messages_received", "fleet_messages_sent"];
+
+impl ClusterHandle {
+    /// The state of this head's part in the cluster, as pairs of a metric's name and its value.
+    pub fn metrics(&self) -> Vec<(&'static str, u64)> {
+        let status = self.member.status();
+        let distribution = self.member.distribution();
+        let votes = u64::from(self.member.votes());
+        let (syncs, longest_sync_us, mean_sync_us) = status.syncs;
+        let mut metrics = vec![
+            ("fleet_term", status.term),
+            ("fleet_is_leader", u64::from(status.role == "leader")),
+            ("fleet_is_voter", votes),
+            // Deprecated spelling of `fleet_is_voter`, for one release more.
+            ("fleet_is_keeper", votes),
+            ("fleet_stopped", u64::from(status.role == "stopped")),
+            ("fleet_version", status.version),
+            ("fleet_age_milliseconds", status.age.unwrap_or(u64::MAX)),
+            ("fleet_followers", u64::from(distribution.all_followers)),
+            ("fleet_direct_followers", u64::from(distribution.direct_followers)),
+            ("fleet_is_relay", u64::from(self.member.settings.relay)),
+            ("fleet_relays", distribution.relays.len() as u64),
+            ("fleet_syncs", syncs),
+            ("fleet_sync_longest_microseconds", longest_sync_us),
+            ("fleet_sync_mean_microseconds", mean_sync_us),
+            ("fleet_repairs", status.repairs),
+            ("fleet_frames_refused", status.refused),
+        ];
+        metrics.extend(status.depth().map(|depth| ("fleet_depth", depth)));
+        metrics.extend(self.traffic().named(CLUSTER_TRAFFIC));
+        metrics
+    }
+}
--- /dev/null
+++ b/crates/cluster/src/handle/start.rs
@@ -0,0 +1,117 @@
+//! The thread of the cluster: its runtime, its listener and its node.
+
+use crate::disk::{self, Disk, OpenError, OpenedStore};
+use crate::environment::Tcp;
+use crate::member::{Member, StartError};
+use crate::node::{Node, NodeSetup};
+use crate::serve;
+use crate::settings::Settings;
+use std::io;
+use std::net::{SocketAddr, TcpListener};
+use std::sync::{Arc, mpsc};
+use thiserror::Error;
+use tokio::runtime::Handle;
+
+/// Why a head does not join the cluster.
+#[derive(Debug, Error)]
+pub enum ClusterStartError {
+    /// The store cannot be used.
+    #[error(transparent)]
+    Store(#[from] OpenError),
+    /// The listening address cannot be bound.
+    #[error("fleet.listen: cannot bind {address}: {source}")]
+    Bind {
+        /// The address of the settings.
+        address: SocketAddr,
+        /// Why.
+        source: io::Error,
+    },
+    /// The listener has no address.
+    #[error("fleet.listen: {0}")]
+    LocalAddress(#[source] io::Error),
+    /// The thread cannot be started.
+    #[error("fleet: no thread: {0}")]
+    Thread(#[source] io::Error),
+    /// The thread has no runtime.
+    #[error("fleet: no runtime: {0}")]
+    Runtime(#[source] io::Error),
+    /// The runtime cannot use the listener.
+    #[error(transparent)]
+    Listener(io::Error),
+    /// The node cannot be started.
+    #[error(transparent)]
+    Node(#[from] StartError),
+    /// The thread ended before it was ready.
+    #[error("fleet: ended at its start")]
+    EndedAtStart,
+}
+
+/// The runtime of the cluster's thread, and the member that runs in it.
+pub(super) type StartedCluster = (Handle, Arc<Member>);
+type StartResult = Result<StartedCluster, ClusterStartError>;
+
+/// What the thread is started with.
+struct ThreadSetup {
+    settings: Settings,
+    head: String,
+    listener: TcpListener,
+    address: SocketAddr,
+    disk: Disk,
+    opened: OpenedStore,
+}
+
+/// Opens the store, binds the listener, and starts the thread; returns once the node runs.
+pub(super) fn start(settings: &Settings, head: &str) -> StartResult {
+    let (disk, opened) = disk::open(&settings.dir)?;
+    let (store, incarnation) = (opened.identity.store, opened.identity.incarnation);
+    let listener = bind(settings.listen)?;
+    let local_address = listener.local_addr().map_err(ClusterStartError::LocalAddress)?;
+    tracing::info!("fleet.listen: {local_address}");
+    let setup = ThreadSetup {
+        address: settings.address.unwrap_or(local_address),
+        settings: settings.clone(),
+        head: head.to_owned(),
+        listener,
+        disk,
+        opened,
+    };
+    let (started, starting) = mpsc::channel();
+    let thread = std::thread::Builder::new().name("fleet".into());
+    thread.spawn(move || run_thread(setup, &started)).map_err(ClusterStartError::Thread)?;
+    let cluster = starting.recv().map_err(|_| ClusterStartError::EndedAtStart)??;
+    tracing::info!("fleet: {head} holds store {store:016x} in incarnation {incarnation}");
+    Ok(cluster)
+}
+
+fn bind(address: SocketAddr) -> Result<TcpListener, ClusterStartError> {
+    let listener =
+        TcpListener::bind(address).and_then(|listener| listener.set_nonblocking(true).map(|()| listener));
+    listener.map_err(|source| ClusterStartError::Bind { address, source })
+}
+
+/// Runs the cluster on this thread, after it has reported that it runs or why not.
+fn run_thread(setup: ThreadSetup, started: &mpsc::Sender<StartResult>) {
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+    let runtime = match runtime {
+        Ok(runtime) => runtime,
+        Err(error) => return drop(started.send(Err(ClusterStartError::Runtime(error)))),
+    };
+    runtime.block_on(async {
+        match start_node(setup).await {
+            Ok((node, listener)) => {
+                let _ = started.send(Ok((Handle::current(), Arc::clone(&node.member))));
+                serve::serve(Arc::clone(&node.member), listener).await;
+                // Its tasks end with it.
+                drop(node);
+            }
+            Err(error) => drop(started.send(Err(error))),
+        }
+    });
+}
+
+async fn start_node(setup: ThreadSetup) -> Result<(Node, tokio::net::TcpListener), ClusterStartError> {
+    let ThreadSetup { settings, head, listener, address, disk, opened } = setup;
+    let listener = tokio::net::TcpListener::from_std(listener).map_err(ClusterStartError::Listener)?;
+    let node = Node::start(NodeSetup { settings, head, address, disk, opened, dial: Arc::new(Tcp) }).await?;
+    Ok((node, listener))
+}
--- /dev/null
+++ b/crates/cluster/src/member/start.rs
@@ -0,0 +1,169 @@
+//! Building a member from its settings and its opened store.
+
+use super::Member;
+use crate::change::PendingChange;
+use crate::disk::{Identity, OpenedStore};
+use crate::environment::{EntropyError, now, random};
+use crate::link::Links;
+use crate::node_setup::NodeSetup;
+use crate::raft_log::RaftLog;
+use crate::settings::Settings;
+use crate::state_machine::{CorruptSnapshot, StateMachine};
+use crate::types::{Raft, Vote};
+use openraft::error::Fatal;
+use openraft::{Config, ConfigError, SnapshotPolicy};
+use sedgerun_replication::election::{Election, ElectionTimeouts};
+use sedgerun_replication::follow::{Follower, Followers, Peer};
+use sedgerun_replication::greeting::{Greeting, StoreId};
+use sedgerun_replication::transfer_permits::TransferPermits;
+use sedgerun_replication::watermark::Incarnation;
+use std::net::SocketAddr;
+use std::sync::atomic::{AtomicBool, AtomicU64};
+use std::sync::{Arc, Mutex};
+use thiserror::Error;
+use tokio::sync::mpsc;
+
+/// Time between heartbeats of a leader, in milliseconds.
+const HEARTBEAT_MS: u64 = 100;
+/// For this long after a heartbeat of a leader a voter gives its vote to no other, in milliseconds.
+const LEASE_MS: u64 = 400;
+/// When a voter campaigns. The silence is longer than the lease, so that an election is not refused where the last
+/// heartbeat reached another voter a little later.
+pub(super) const ELECTION_TIMEOUTS: ElectionTimeouts =
+    ElectionTimeouts { leader_timeout_ms: 500, jitter_ms: 250, retry_ms: 300 };
+/// Log entries between snapshots.
+const ENTRIES_BETWEEN_SNAPSHOTS: u64 = 5000;
+/// Log entries kept behind a snapshot, for voters that lag a little.
+const ENTRIES_KEPT: u64 = 1000;
+/// Size of one chunk of a snapshot, in bytes.
+const SNAPSHOT_CHUNK_BYTES: u64 = 512 << 10;
+/// Time for one chunk of a snapshot, in milliseconds.
+const SNAPSHOT_CHUNK_TIMEOUT_MS: u64 = 2000;
+
+/// Why a member cannot be started.
+#[derive(Debug, Error)]
+pub enum StartError {
+    /// There are no random numbers.
+    #[error(transparent)]
+    Entropy(#[from] EntropyError),
+    /// The state of the last snapshot cannot be decoded.
+    #[error(transparent)]
+    Snapshot(#[from] CorruptSnapshot),
+    /// The consensus library rejects its configuration.
+    #[error(transparent)]
+    Config(#[from] Box<ConfigError>),
+    /// The consensus library cannot start with this log.
+    #[error(transparent)]
+    Raft(#[from] Box<Fatal<StoreId>>),
+}
+
+impl Member {
+    /// Starts a new incarnation of a store; changes made through it are sent to `changes`.
+    ///
+    /// # Errors
+    /// The store's contents cannot be used.
+    pub async fn start(setup: NodeSetup, changes: mpsc::Sender<PendingChange>) -> Result<Member, StartError> {
+        let NodeSetup { settings, head, address, disk, opened, dial } = setup;
+        let own = greeting(&settings, &head, address, &opened)?;
+        let OpenedStore { identity, vote, committed, purged, log, watermarks, snapshot, followed } = opened;
+        let links = Links::new(own, settings.routes(), watermarks, dial);
+        let state_machine = StateMachine::new(disk.clone(), snapshot, &log, committed, followed)?;
+        let vote = vote.map(|vote| uncommit_own_vote(vote, &identity));
+        let log = RaftLog::new(disk.clone(), log, purged, vote, committed);
+        let config = Arc::new(raft_config(&settings)?);
+        let raft = Raft::new(identity.store, config, links.clone(), log.clone(), state_machine.clone());
+        let raft = raft.await.map_err(Box::new)?;
+        let follower = follower(&settings, &head)?;
+        let followers = Followers::new(settings.role(), settings.follower_capacity());
+        Ok(Member {
+            raft,
+            state_machine,
+            links,
+            settings,
+            disk,
+            log,
+            identity: tokio::sync::Mutex::new(identity),
+            refused_connections: AtomicU64::new(0),
+            has_recovered: AtomicBool::default(),
+            is_removed: AtomicBool::default(),
+            repairs: AtomicU64::new(0),
+            election: Mutex::new(Election::new(ELECTION_TIMEOUTS, random()?, now())),
+            follower: Mutex::new(follower),
+            followers: Mutex::new(followers),
+            registry: Mutex::default(),
+            transfer_permits: Mutex::new(TransferPermits::new(random()?)),
+            changes,
+        })
+    }
+}
+
+/// What this head says about itself.
+fn greeting(
+    settings: &Settings,
+    head: &str,
+    address: SocketAddr,
+    opened: &OpenedStore,
+) -> Result<Greeting, EntropyError> {
+    let identity = &opened.identity;
+    Ok(Greeting {
+        fleet: settings.name.clone(),
+        secret: settings.secret.clone(),
+        head: head.to_owned(),
+        store: Some(identity.store),
+        zone: settings.zone.clone(),
+        address: address.to_string(),
+        incarnation: Incarnation { count: identity.incarnation, nonce: random()? },
+        initial_watermark: opened.watermark(),
+        origin: identity.origin,
+    })
+}
+
+/// Guards against a leader that continues in its term after a restart: what it sent and had not synced is lost, and it
+/// would put other entries at the same positions. A restarted process is a new incarnation, and campaigns anew.
+fn uncommit_own_vote(vote: Vote, identity: &Identity) -> Vote {
+    match vote.leader_id().voted_for() {
+        Some(own) if own == identity.store => Vote { committed: false, ..vote },
+        _ => vote,
+    }
+}
+
+fn raft_config(settings: &Settings) -> Result<Config, Box<ConfigError>> {
+    let entries_between_snapshots = entries_between_snapshots();
+    let config = Config {
+        cluster_name: settings.name.clone(),
+        heartbeat_interval: HEARTBEAT_MS,
+        election_timeout_min: LEASE_MS - 50,
+        election_timeout_max: LEASE_MS,
+        max_payload_entries: 128,
+        snapshot_policy: SnapshotPolicy::LogsSinceLast(entries_between_snapshots),
+        max_in_snapshot_log_to_keep: ENTRIES_KEPT.min(entries_between_snapshots / 5),
+        snapshot_max_chunk_size: snapshot_chunk_bytes(),
+        install_snapshot_timeout: SNAPSHOT_CHUNK_TIMEOUT_MS,
+        // When to campaign is decided by `election`.
+        enable_elect: false,
+        ..Config::default()
+    };
+    config.validate().map_err(Box::new)
+}
+
+fn follower(settings: &Settings, head: &str) -> Result<Follower, EntropyError> {
+    let seeds = settings.voters.iter();
+    let seeds = seeds.map(|(head, at)| Peer { head: head.clone(), address: at.to_string() }).collect();
+    Ok(Follower::new(head, seeds, random()?).with_role(settings.role(), settings.region.clone()))
+}
+
+/// Log entries between snapshots; tests set fewer.
+fn entries_between_snapshots() -> u64 {
+    fail::fail_point!("entries between snapshots", |configured| configured
+        .and_then(|configured| configured.parse().ok())
+        .unwrap_or(ENTRIES_BETWEEN_SNAPSHOTS));
+    ENTRIES_BETWEEN_SNAPSHOTS
+}
+
+/// Size of one chunk of a snapshot, in bytes; tests set less.
+fn snapshot_chunk_bytes() -> u64 {
+    fail::fail_point!("bytes of a piece", |configured| configured
+        .and_then(|configured| configured.parse().ok())
+        .unwrap_or(SNAPSHOT_CHUNK_BYTES));
+    SNAPSHOT_CHUNK_BYTES
+}
--- a/crates/cluster/src/node.rs
+++ b/crates/cluster/src/node.rs
@@ -1,12 +1,15 @@
-//! One head's part in a fleet with all that it does by itself, on whatever carries it: real sockets and a real disk,
-//! or those of a simulator.
-
-use super::environment::Connection;
-use super::member::Member;
-pub use super::node_setup::NodeSetup;
-use super::pending::{MAX_WAITING, Unsettled};
-use super::serve::serve_connection;
-use super::types::Status;
+//! One head's node of the cluster with all its tasks, over any transport and disk: real sockets and a real disk, or those
+//! of a simulator.
+//!
+//! A [`Node`] owns the tasks; dropping it ends them. It does not listen: connections of other heads are handed to it, or
+//! accepted by `serve`.
+
+use crate::change::{MAX_WAITING_CHANGES, PendingChange, Unsettled};
+use crate::environment::Connection;
+use crate::member::{BeginError, Member, StartError};
+pub use crate::node_setup::NodeSetup;
+use crate::serve::serve_connection;
+use crate::types::HeadStatus;
 use openraft::ServerState;
 use sedgerun_replication::state::{Change, ChangeOutcome};
 use sedgerun_replication::store::StoreId;
@@ -16,12 +19,15 @@
 use tokio::sync::mpsc;
 use tokio::task::JoinSet;
 
-/// A head's part in a fleet. Dropped, it does nothing more.
+/// Time between checks of whether the role has changed.
+const ROLE_CHECK_INTERVAL: Duration = Duration::from_millis(250);
+
+/// A head's node of the cluster. Dropping it ends its tasks.
 pub struct Node {
     /// The head as a member.
-    pub(super) member: Arc<Member>,
+    pub(crate) member: Arc<Member>,
     tasks: JoinSet<()>,
-    /// Tasks that are no connections.
+    /// Number of tasks that are not connections.
     own_tasks: usize,
 }
 
@@ -29,38 +35,19 @@
     /// Starts a new incarnation of a store.
     ///
     /// # Errors
-    /// What the consensus library cannot begin with, in one line.
-    pub async fn start(setup: NodeSetup) -> Result<Node, String> {
-        let (changes, waiting) = mpsc::channel(MAX_WAITING);
-        let member = Member::start(setup, changes).await?;
-        let member = Arc::new(member);
-        let mut tasks = JoinSet::new();
-        tasks.spawn(Arc::clone(&member).write_together(waiting));
-        tasks.spawn(watch_role(Arc::clone(&member)));
-        tasks.spawn(Arc::clone(&member).run_elections());
-        let recovering = Arc::clone(&member);
-        tasks.spawn(async move {
-            recovering.recover().await;
-            recovering.save_watermarks().await;
-        });
-        let following = Arc::clone(&member);
-        tasks.spawn(async move { following.follow().await });
-        let saving = Arc::clone(&member);
-        tasks.spawn(async move { saving.save_followed().await });
-        if member.settings.relay {
-            let registering = Arc::clone(&member);
-            tasks.spawn(async move { registering.run_registration().await });
-        }
-        let repairing = Arc::clone(&member);
-        tasks.spawn(async move { repairing.run_repair().await });
+    /// The store's contents cannot be used.
+    pub async fn start(setup: NodeSetup) -> Result<Node, StartError> {
+        let (changes, waiting) = mpsc::channel(MAX_WAITING_CHANGES);
+        let member = Arc::new(Member::start(setup, changes).await?);
+        let tasks = spawn_tasks(&member, waiting);
         Ok(Node { member, own_tasks: tasks.len(), tasks })
     }
 
-    /// Takes a connection that another head has made.
+    /// Serves a connection that another head has made.
     pub fn accept(&mut self, connection: Connection) {
         let member = Arc::clone(&self.member);
         while self.tasks.try_join_next().is_some() {}
-        // Guards against callers that connect and stay: those past the bound are closed at once.
+        // Guards against callers that connect and stay: those past the limit are closed at once.
         if self.tasks.len() >= self.own_tasks + member.settings.max_callers(member.votes()) {
             return;
         }
@@ -74,77 +61,110 @@
         tokio::spawn(async move { drop(member.raft.shutdown().await) });
     }
 
-    /// A client that does not keep it running.
+    /// A client, which does not keep the tasks running.
     pub fn client(&self) -> NodeClient {
         NodeClient(Arc::clone(&self.member))
     }
 
-    /// Its store.
+    /// The number of its store.
     pub fn store(&self) -> StoreId {
         self.member.raft_id()
     }
 
-    /// The term in which it leads, by its own account.
+    /// The term in which it leads, as far as it knows.
     pub fn leads_in(&self) -> Option<u64> {
         let metrics = self.member.raft.metrics().borrow().clone();
         (metrics.state == ServerState::Leader).then_some(metrics.current_term)
     }
 
-    /// How it stands.
-    pub fn status(&self) -> Status {
+    /// Its status.
+    pub fn status(&self) -> HeadStatus {
         self.member.status()
     }
 
-    /// Reads what it holds.
+    /// Reads its view.
     pub fn read<T>(&self, read: impl FnOnce(&View) -> T) -> T {
-        self.member.machine.read(read)
+        self.member.state_machine.read(read)
     }
 }
 
-/// Asks a head as its clients do.
+/// A client of a node, in the same process.
 pub struct NodeClient(Arc<Member>);
 
 impl NodeClient {
     /// Makes a change.
+    ///
+    /// # Errors
+    /// It was not committed in time; it may still be.
     pub async fn change(&self, change: Change) -> Result<ChangeOutcome, Unsettled> {
         self.0.change(change).await
     }
 
-    /// Begins the fleet with the voters of the settings.
-    pub async fn begin(&self) -> Result<(), String> {
+    /// Begins the cluster with the voters of the settings.
+    ///
+    /// # Errors
+    /// Which voter is not ready, or why this head cannot begin.
+    pub async fn begin(&self) -> Result<(), BeginError> {
         self.0.begin().await
     }
 
-    /// What it holds, settled or not by now.
+    /// Its view, which may lag behind what is committed.
     pub fn view(&self) -> View {
-        self.0.machine.read(View::clone)
+        self.0.state_machine.read(View::clone)
     }
 
-    /// All that was settled when it was asked.
+    /// Its view with all that was committed when this was called.
+    ///
+    /// # Errors
+    /// It did not come that far in time.
     pub async fn latest(&self) -> Result<View, Unsettled> {
         self.0.latest().await?;
         Ok(self.view())
     }
 }
 
-/// Says each change of this head's part in one line.
-async fn watch_role(member: Arc<Member>) {
-    let mut said = (String::new(), 0, None);
-    let mut trouble = false;
+/// Starts all tasks of a member.
+fn spawn_tasks(member: &Arc<Member>, waiting: mpsc::Receiver<PendingChange>) -> JoinSet<()> {
+    let mut tasks = JoinSet::new();
+    tasks.spawn(Arc::clone(member).write_batches(waiting));
+    tasks.spawn(log_role(Arc::clone(member)));
+    tasks.spawn(Arc::clone(member).run_elections());
+    let recovering = Arc::clone(member);
+    tasks.spawn(async move {
+        recovering.recover().await;
+        recovering.save_watermarks().await;
+    });
+    let following = Arc::clone(member);
+    tasks.spawn(async move { following.follow().await });
+    let saving = Arc::clone(member);
+    tasks.spawn(async move { saving.save_followed().await });
+    if member.settings.relay {
+        let registering = Arc::clone(member);
+        tasks.spawn(async move { registering.run_registration().await });
+    }
+    let repairing = Arc::clone(member);
+    tasks.spawn(async move { repairing.run_repair().await });
+    tasks
+}
+
+/// Logs each change of this head's role, term or leader, and its first fault.
+async fn log_role(member: Arc<Member>) {
+    let mut logged = (String::new(), 0, None);
+    let mut has_logged_fault = false;
     loop {
-        // Noted here, so that a voter counts as one from its start on, and not from the first question.
+        // Updated here, so that a voter counts as one from its start on, and not from the first request.
         drop(member.voting_registry());
         let status = member.status();
-        let now = (status.role, status.term, status.leader);
-        if now != said {
-            let leader = now.2.as_deref().unwrap_or("nobody");
-            tracing::info!(term = now.1, leader, version = status.version, "fleet: now {}", now.0);
-            said = now;
+        let current = (status.role, status.term, status.leader);
+        if current != logged {
+            let leader = current.2.as_deref().unwrap_or("nobody");
+            tracing::info!(term = current.1, leader, version = status.version, "fleet: now {}", current.0);
+            logged = current;
         }
-        if let Some(what) = status.trouble.filter(|_| !trouble) {
-            tracing::error!("fleet: keeps and promises nothing any more: {what}");
-            trouble = true;
+        if let Some(fault) = status.trouble.filter(|_| !has_logged_fault) {
+            tracing::error!("fleet: keeps and promises nothing any more: {fault}");
+            has_logged_fault = true;
         }
-        tokio::time::sleep(Duration::from_millis(250)).await;
+        tokio::time::sleep(ROLE_CHECK_INTERVAL).await;
     }
 }
--- a/crates/cluster/src/node_setup.rs
+++ b/crates/cluster/src/node_setup.rs
@@ -1,23 +1,23 @@
-//! What a head's part in a fleet is started with.
+//! What a node is started with.
 
-use super::disk::{Disk, Held};
-use super::environment::Dial;
-use super::settings::Settings;
+use crate::disk::{Disk, OpenedStore};
+use crate::environment::Dial;
+use crate::settings::Settings;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// What a head's part in a fleet is started with.
+/// What a node is started with.
 pub struct NodeSetup {
-    /// The settings of the fleet.
+    /// The settings of the cluster.
     pub settings: Settings,
     /// The head's name.
     pub head: String,
-    /// Where other heads reach it.
+    /// The address at which other heads reach it.
     pub address: SocketAddr,
-    /// The writer of its store.
+    /// The handle of its store's writer.
     pub disk: Disk,
-    /// What the store held when it was opened.
-    pub held: Held,
-    /// What makes connections to other heads.
+    /// What the store contained when it was opened.
+    pub opened: OpenedStore,
+    /// The transport to other heads.
     pub dial: Arc<dyn Dial>,
 }
--- a/crates/cluster/src/relay.rs
+++ b/crates/cluster/src/relay.rs
@@ -1,9 +1,12 @@
-//! A relay's registration with the voters, and the leases that a voter grants.
+//! Relays: their registration with all voters, and the leases that a voter grants them.
+//!
+//! Which relays are live is decided by [`RelayRegistry`](sedgerun_replication::relay::RelayRegistry), which each voter
+//! has for itself.
 
-use super::environment::now;
-use super::member::Member;
-use super::peer_connection::{CallError, PeerConnection};
-use super::types::{Call, RelayRegistration, Reply};
+use crate::environment::now;
+use crate::member::Member;
+use crate::peer_connection::{PeerConnection, RequestError};
+use crate::types::{PeerRequest, PeerResponse, RelayRegistration};
 use futures_util::future::join_all;
 use sedgerun_replication::follow::Peer;
 use sedgerun_replication::greeting::Greeting;
@@ -12,10 +15,10 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Between two registrations.
-const INTERVAL: Duration = Duration::from_millis(REGISTRATION_INTERVAL_MS);
-/// Time for a voter to answer one.
-const TIMEOUT: Duration = Duration::from_millis(1000);
+/// Time between two registrations.
+const REGISTRATION_INTERVAL: Duration = Duration::from_millis(REGISTRATION_INTERVAL_MS);
+/// Time for a voter to answer a registration.
+const REGISTRATION_TIMEOUT: Duration = Duration::from_millis(1000);
 
 /// Connections of a relay to the voters, by name.
 #[derive(Default)]
@@ -24,89 +27,85 @@
     /// Voters of earlier versions, which grant no leases.
     legacy: LegacyPeers,
     /// The last refusal that was logged.
-    refusal: Option<String>,
+    logged_refusal: Option<String>,
 }
 
 impl Member {
-    /// Registers this head, a relay, with all voters, for as long as it is polled.
+    /// Registers this head, which must be a relay, with all voters, for as long as the future is polled.
     pub async fn run_registration(&self) {
         let mut registrations = Registrations::default();
         loop {
-            // Nobody is to be sent to a relay that has nothing to serve yet.
+            // No follower is to be redirected to a relay that has nothing to serve yet.
             if self.path_and_age().1.is_some() {
                 self.register_with_all(&mut registrations).await;
             }
-            tokio::time::sleep(INTERVAL).await;
+            tokio::time::sleep(REGISTRATION_INTERVAL).await;
         }
     }
 
     async fn register_with_all(&self, registrations: &mut Registrations) {
-        let voters = self.voters().by_store.into_values();
         let registration = RelayRegistration {
             region: self.settings.region.clone(),
             followers: u32::try_from(self.followers().count(now())).unwrap_or(u32::MAX),
         };
-        let call = Call::RegisterRelay(registration);
+        let request = PeerRequest::RegisterRelay(registration);
+        let voters = self.voters().by_store.into_values();
         let attempts = voters.map(|voter| {
             let connection = registrations.connections.remove(&voter.head);
-            self.register_with(voter, connection, &call, &registrations.legacy)
+            self.register_with(voter, connection, &request, &registrations.legacy)
         });
         let attempts: Vec<_> = attempts.collect();
         let mut refusal = None;
         for (voter, outcome) in join_all(attempts).await {
             match outcome {
-                Registration::Granted(connection) => {
+                RegistrationOutcome::Granted(connection) => {
                     registrations.connections.insert(voter, connection);
                 }
-                Registration::Refused(why) => refusal = Some(format!("{voter}: {why}")),
-                Registration::Unknown(incarnation) => {
+                RegistrationOutcome::Refused(why) => refusal = Some(format!("{voter}: {why}")),
+                RegistrationOutcome::UnknownRequest(incarnation) => {
                     registrations.legacy.remember(now(), &voter, incarnation)
                 }
-                Registration::Unreached => {}
+                RegistrationOutcome::NoAnswer => {}
             }
         }
-        if refusal != registrations.refusal {
-            match &refusal {
-                Some(why) => tracing::warn!("fleet: not registered as a relay: {why}"),
-                None => tracing::info!("fleet: registered as a relay"),
-            }
-            registrations.refusal = refusal;
-        }
+        registrations.log_change(refusal);
     }
 
     async fn register_with(
         &self,
         voter: Peer,
         connection: Option<PeerConnection>,
-        call: &Call,
+        request: &PeerRequest,
         legacy: &LegacyPeers,
-    ) -> (String, Registration) {
+    ) -> (String, RegistrationOutcome) {
         let Some(to) = self.links.route(&voter.head, &voter.address) else {
-            return (voter.head, Registration::Unreached);
+            return (voter.head, RegistrationOutcome::NoAnswer);
         };
         let connection = match connection {
             Some(connection) => Ok(connection),
             None => PeerConnection::dial(&self.links, to).await,
         };
-        let Ok(mut connection) = connection else { return (voter.head, Registration::Unreached) };
+        let Ok(mut connection) = connection else { return (voter.head, RegistrationOutcome::NoAnswer) };
         let incarnation = connection.incarnation();
         if legacy.contains(now(), &voter.head, incarnation) {
-            return (voter.head, Registration::Unreached);
+            return (voter.head, RegistrationOutcome::NoAnswer);
         }
-        let outcome = match connection.call(call, TIMEOUT).await {
-            Ok(Reply::Registered) => Registration::Granted(connection),
-            Ok(Reply::Refused(why)) => Registration::Refused(why),
-            Err(CallError::Hangup) => Registration::Unknown(incarnation),
-            Ok(_) | Err(CallError::Io(_)) => Registration::Unreached,
+        let outcome = match connection.request(request, REGISTRATION_TIMEOUT).await {
+            Ok(PeerResponse::Registered) => RegistrationOutcome::Granted(connection),
+            Ok(PeerResponse::Refused(why)) => RegistrationOutcome::Refused(why),
+            Err(RequestError::Hangup) => RegistrationOutcome::UnknownRequest(incarnation),
+            Ok(_) | Err(RequestError::Io(_)) => RegistrationOutcome::NoAnswer,
         };
         (voter.head, outcome)
     }
 
-    /// Grants or renews the lease of a relay.
-    pub fn register_relay(&self, registration: RelayRegistration, from: &Greeting) -> Reply {
-        let Some(store) = from.store else { return Reply::Refused("a relay has a store".into()) };
+    /// Grants or renews the lease of the relay that sent this greeting.
+    pub fn register_relay(&self, registration: RelayRegistration, from: &Greeting) -> PeerResponse {
+        let Some(store) = from.store else {
+            return PeerResponse::Refused("a relay has a store".into());
+        };
         if !self.votes() {
-            return Reply::Refused("does not vote".into());
+            return PeerResponse::Refused("does not vote".into());
         }
         let relay = Relay {
             peer: Peer { head: from.head.clone(), address: from.address.clone() },
@@ -117,20 +116,34 @@
         };
         let status = RelayStatus { relay, followers: registration.followers };
         match self.voting_registry().register(now(), status) {
-            Ok(()) => Reply::Registered,
-            Err(why) => Reply::Refused(why.to_string()),
+            Ok(()) => PeerResponse::Registered,
+            Err(why) => PeerResponse::Refused(why.to_string()),
+        }
+    }
+}
+
+impl Registrations {
+    /// Logs a refusal, or that there is none any more, once.
+    fn log_change(&mut self, refusal: Option<String>) {
+        if refusal == self.logged_refusal {
+            return;
+        }
+        match &refusal {
+            Some(why) => tracing::warn!("fleet: not registered as a relay: {why}"),
+            None => tracing::info!("fleet: registered as a relay"),
         }
+        self.logged_refusal = refusal;
     }
 }
 
-/// What became of a registration with one voter.
-enum Registration {
+/// The outcome of a registration with one voter.
+enum RegistrationOutcome {
     /// The lease is granted.
     Granted(PeerConnection),
     /// It is refused, for this reason.
     Refused(String),
-    /// The voter, in this incarnation, does not know the call.
-    Unknown(u64),
-    /// No answer.
-    Unreached,
+    /// The voter, in this incarnation, does not know the request.
+    UnknownRequest(u64),
+    /// The voter cannot be reached, or did not answer.
+    NoAnswer,
 }
--- a/crates/cluster/src/serve.rs
+++ b/crates/cluster/src/serve.rs
@@ -1,75 +1,86 @@
-//! The listener for other heads.
+//! The server side of connections between heads: accepts them, exchanges greetings, and answers requests one after the
+//! other. What is answered is decided by the [member](crate::member).
 
-use super::environment::Connection;
-use super::frame::{receive, send, within};
-use super::link::GREETING;
-use super::member::Member;
-use super::types::{Call, Reply};
+use crate::environment::Connection;
+use crate::frame::{receive, send, within};
+use crate::link::GREETING_TIMEOUT;
+use crate::member::Member;
+use crate::types::{PeerRequest, PeerResponse};
 use sedgerun_replication::greeting::{Greeting, Refusal};
 use sedgerun_replication::record::RecordType;
 use sedgerun_replication::subscribe::SubscribeReply;
 use std::io;
+use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 use tokio::net::TcpListener;
 
-/// A connection on which nothing is asked for so long is closed.
-const IDLE: Duration = Duration::from_secs(60);
-/// Time in which an answer must have left.
-const ANSWER: Duration = Duration::from_secs(5);
+/// A connection without a request for this long is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
+/// Time in which a response must have been sent.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Pause after a connection that could not be accepted.
+const ACCEPT_RETRY: Duration = Duration::from_millis(20);
 
-/// Accepts heads for as long as the future is polled.
+/// Accepts connections of other heads, for as long as the future is polled.
 pub async fn serve(member: Arc<Member>, listener: TcpListener) {
-    let connected = Arc::new(());
+    // Counts connections: each has a clone of it.
+    let connections = Arc::new(());
     loop {
         let Ok((stream, peer)) = listener.accept().await else {
-            tokio::time::sleep(Duration::from_millis(20)).await;
+            tokio::time::sleep(ACCEPT_RETRY).await;
             continue;
         };
         let member = Arc::clone(&member);
-        // Guards against callers that connect and stay: those past the bound are closed at once. The bound moves with
-        // the vote; each connection holds a clone of the counter.
-        if Arc::strong_count(&connected) > member.settings.max_callers(member.votes()) {
+        // Guards against callers that connect and stay: those past the limit are closed at once. The limit changes when
+        // this head becomes a voter, or no longer is one.
+        if Arc::strong_count(&connections) > member.settings.max_callers(member.votes()) {
             continue;
         }
-        let permit = Arc::clone(&connected);
+        let permit = Arc::clone(&connections);
         tokio::spawn(async move {
             let served = match stream.set_nodelay(true) {
                 Ok(()) => serve_connection(&member, Box::new(stream)).await,
                 Err(error) => Err(error),
             };
             if let Err(error) = served {
-                let corrupt =
-                    matches!(error.kind(), io::ErrorKind::InvalidData | io::ErrorKind::PermissionDenied);
-                if corrupt {
-                    let refused = member.refused.fetch_add(1, Ordering::Relaxed) + 1;
-                    tracing::warn!("fleet: {peer}: {error}; connection closed, {refused} so far");
-                }
+                log_refused(&member, peer, &error);
             }
             drop(permit);
         });
     }
 }
 
-/// Answers one head for as long as it asks.
+/// Counts and logs a connection that was closed because of a corrupt frame or a rejected greeting.
+fn log_refused(member: &Member, peer: SocketAddr, error: &io::Error) {
+    if matches!(error.kind(), io::ErrorKind::InvalidData | io::ErrorKind::PermissionDenied) {
+        let refused = member.refused_connections.fetch_add(1, Ordering::Relaxed) + 1;
+        tracing::warn!("fleet: {peer}: {error}; connection closed, {refused} so far");
+    }
+}
+
+/// Answers the requests of one head until it closes the connection.
+///
+/// # Errors
+/// The connection has failed, a frame was corrupt, or the head was rejected.
 pub async fn serve_connection(member: &Member, stream: Connection) -> io::Result<()> {
     let mut stream = member.links.counted(stream);
-    let mut theirs: Greeting = within(GREETING, receive(&mut stream, RecordType::Greeting)).await?;
+    let mut theirs: Greeting = within(GREETING_TIMEOUT, receive(&mut stream, RecordType::Greeting)).await?;
     let own = member.links.own();
     let admitted = member.links.admit(&own, &theirs);
-    let words: Result<Greeting, Refusal> = admitted.clone().map(|()| own);
-    within(GREETING, send(&mut stream, RecordType::Greeting, &words)).await?;
+    let answer: Result<Greeting, Refusal> = admitted.clone().map(|()| own);
+    within(GREETING_TIMEOUT, send(&mut stream, RecordType::Greeting, &answer)).await?;
     if let Err(refusal) = admitted {
         return Err(io::Error::new(io::ErrorKind::PermissionDenied, format!("{} is {refusal}", theirs.head)));
     }
     theirs.secret.clear();
     loop {
-        let call: Call = within(IDLE, receive(&mut stream, RecordType::Call)).await?;
-        let reply = member.answer(call, &theirs).await;
-        within(ANSWER, send(&mut stream, RecordType::Reply, &reply)).await?;
-        // Guards against a whole zone that stays connected to a voter which sent it to its relays.
-        if let Reply::Subscribed(SubscribeReply::Redirect(_)) = reply {
+        let request: PeerRequest = within(IDLE_TIMEOUT, receive(&mut stream, RecordType::Call)).await?;
+        let response = member.respond(request, &theirs).await;
+        within(RESPONSE_TIMEOUT, send(&mut stream, RecordType::Reply, &response)).await?;
+        // Guards against a whole zone that stays connected to a voter which has redirected it to its relays.
+        if let PeerResponse::Subscribed(SubscribeReply::Redirect(_)) = response {
             return Ok(());
         }
     }
--- a/crates/cluster/src/settings.rs
+++ b/crates/cluster/src/settings.rs
@@ -1,4 +1,6 @@
-//! The `(fleet ...)` form of the operator's file: without it there is nothing of the fleet in this process.
+//! The settings of the cluster: the `(fleet ...)` form of the operator's file. Without it a process has no cluster.
+//!
+//! Reading reports every fault to the [`Pairs`] and goes on, so that the operator sees all of them at once.
 
 use sedgerun_config::Pairs;
 use sedgerun_replication::follow::MAX_FOLLOWERS;
@@ -10,24 +12,33 @@
 /// The setting that names the voters.
 const VOTERS: &str = "fleet.voters";
 /// Deprecated spelling of [`VOTERS`]; read for one release more.
-const KEEPERS: &str = "fleet.keepers";
+const DEPRECATED_VOTERS: &str = "fleet.keepers";
 
-/// What the fleet is set up with.
+/// The shortest secret, in bytes.
+const MIN_SECRET_BYTES: usize = 16;
+/// File descriptors of the program where its settings do not say.
+pub const DEFAULT_SOCKETS: usize = 1024;
+/// Heads and command lines that are connected at once to an ordinary head; relays have as many beside their followers.
+const MAX_CALLERS: usize = 128;
+/// The same at a voter, which all heads of a zone may call first when they start together.
+const MAX_VOTER_CALLERS: usize = 1024;
+
+/// The settings of the cluster.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// The fleet's name.
+    /// The cluster's name.
     pub name: String,
-    /// What its heads know and nobody else.
+    /// The secret that all its heads share.
     pub secret: String,
-    /// Where other heads call.
+    /// The address on which this head listens for other heads.
     pub listen: SocketAddr,
-    /// Where the store lies.
+    /// The folder of the store.
     pub dir: PathBuf,
-    /// The voters by name, each with the address at which this head calls it.
+    /// The voters by name, each with the address at which this head reaches it.
     pub voters: BTreeMap<String, SocketAddr>,
-    /// Further heads by name, where this head calls them at other addresses than they say themselves.
+    /// Further heads by name that this head reaches at other addresses than those that they announce.
     pub heads: BTreeMap<String, SocketAddr>,
-    /// Where others call this head; where it listens, if left out.
+    /// The address at which others reach this head; where it listens, if left out.
     pub address: Option<SocketAddr>,
     /// The zone that this head is in.
     pub zone: Option<String>,
@@ -35,26 +46,19 @@
     pub region: Option<String>,
     /// This head is a relay: a follower set aside to serve many others.
     pub relay: bool,
-    /// Descriptors that the program may hold; what a head serves at once follows from it.
+    /// File descriptors that the program may use; how many followers and callers a head accepts follows from it.
     pub sockets: usize,
 }
 
-/// Descriptors where the settings of the program do not say.
-pub const DEFAULT_SOCKETS: usize = 1024;
-/// Heads and command lines that are connected at once to an ordinary head; relays have so many beside their followers.
-const MAX_CALLERS: usize = 128;
-/// The same at a voter, whom all heads of a zone may call first when they start together.
-const MAX_VOTER_CALLERS: usize = 1024;
-
 impl Settings {
-    /// The keys of the form.
+    /// The keys of the form, as pairs.
     pub const KEYS: [&str; 11] = [
         "fleet.name",
         "fleet.secret",
         "fleet.listen",
         "fleet.dir",
         VOTERS,
-        KEEPERS,
+        DEPRECATED_VOTERS,
         "fleet.heads",
         "fleet.address",
         "fleet.zone",
@@ -62,62 +66,23 @@
         "fleet.relay",
     ];
 
-    /// Reads the form of a head of this name, where it is there; faults stay with the pairs.
+    /// Reads the form for a head of this name, if it is there. Faults are reported to the pairs.
     pub fn read(pairs: &Pairs, head: &str) -> Option<Settings> {
         if !pairs.keys().any(|key| key.starts_with("fleet.")) {
             return None;
         }
-        let malformed = |key: &str, text: &str| {
-            if !text.is_empty() {
-                pairs.fault(key, format!("setting {key} is malformed: {text}"));
-            }
-        };
-        let listen = pairs.required("fleet.listen");
-        let listen = listen.parse().unwrap_or_else(|_| {
-            malformed("fleet.listen", listen);
-            SocketAddr::from(([127, 0, 0, 1], 0))
-        });
-        let secret = pairs.required("fleet.secret");
-        if !secret.is_empty() && secret.len() < 16 {
-            pairs.fault("fleet.secret", "setting fleet.secret is shorter than 16 characters");
-        }
-        let named = |key: &str, text: &str| {
-            let mut heads = BTreeMap::new();
-            for head in text.split(',').filter(|head| !head.is_empty()) {
-                match head.trim().split_once('=').map(|(name, at)| (name, at.parse())) {
-                    Some((name, Ok(at))) if !name.is_empty() => {
-                        if heads.insert(name.to_owned(), at).is_some() {
-                            pairs.fault(key, format!("setting {key} names {name} twice"));
-                        }
-                    }
-                    _ => malformed(key, head),
-                }
-            }
-            heads
-        };
+        let listen = read_listen(pairs);
+        let secret = read_secret(pairs);
         let voters_key = voters_key(pairs);
         let voters_text = pairs.required(voters_key);
-        let voters = named(voters_key, voters_text);
-        let heads = named("fleet.heads", pairs.text("fleet.heads").unwrap_or_default());
-        let address = pairs.text("fleet.address").and_then(|text| {
-            let read = text.parse().ok();
-            if read.is_none() {
-                malformed("fleet.address", text);
-            }
-            read
-        });
+        let voters = read_heads(pairs, voters_key, voters_text);
+        let heads = read_heads(pairs, "fleet.heads", pairs.text("fleet.heads").unwrap_or_default());
+        let address = read_address(pairs);
         if !voters_text.is_empty() && voters.len().is_multiple_of(2) {
             let what = format!("setting {voters_key} names {}: an odd number keeps", voters.len());
             pairs.fault(voters_key, what);
         }
-        let relay = match pairs.text("fleet.relay") {
-            Some("yes") => true,
-            None | Some("no" | "") => false,
-            Some(other) => {
-                malformed("fleet.relay", other);
-                false
-            }
-        };
+        let relay = read_relay(pairs);
         if relay && voters.contains_key(head) {
             let what =
                 format!("setting fleet.relay: {head} is among {voters_key}, and a relay does not vote");
@@ -132,30 +97,30 @@
         }
         Some(Settings {
             name: pairs.required("fleet.name").to_owned(),
-            secret: secret.to_owned(),
+            secret,
             listen,
             dir: PathBuf::from(pairs.required("fleet.dir")),
             voters,
             heads,
             address,
-            zone: named_place(pairs, "fleet.zone"),
-            region: named_place(pairs, "fleet.region"),
+            zone: read_place(pairs, "fleet.zone"),
+            region: read_place(pairs, "fleet.region"),
             relay,
             sockets: DEFAULT_SOCKETS,
         })
     }
 
-    /// What this head is set aside for.
+    /// The role of this head as a follower.
     pub fn role(&self) -> FollowerRole {
         if self.relay { FollowerRole::Relay } else { FollowerRole::Head }
     }
 
-    /// Followers that this head serves directly: a relay leaves a quarter of its descriptors to all else.
+    /// Followers that this head serves directly, at most: a relay leaves a quarter of its file descriptors to all else.
     pub fn follower_capacity(&self) -> usize {
         if self.relay { RELAY_CAPACITY.min(self.sockets * 3 / 4).max(MAX_FOLLOWERS) } else { MAX_FOLLOWERS }
     }
 
-    /// Heads and command lines that are connected at once.
+    /// Heads and command lines that are connected at once, at most.
     pub fn max_callers(&self, votes: bool) -> usize {
         match (self.relay, votes) {
             (true, _) => self.follower_capacity() + MAX_CALLERS.min(self.sockets / 8),
@@ -164,7 +129,7 @@
         }
     }
 
-    /// Where this head calls others, by their names.
+    /// The addresses at which this head reaches others, by their names.
     pub fn routes(&self) -> BTreeMap<String, SocketAddr> {
         self.heads.iter().chain(&self.voters).map(|(head, at)| (head.clone(), *at)).collect()
     }
@@ -173,29 +138,88 @@
 /// The key under which the voters are given: [`VOTERS`], or its deprecated spelling, which is logged. Both at once
 /// are a fault.
 fn voters_key(pairs: &Pairs) -> &'static str {
-    match (pairs.text(VOTERS), pairs.text(KEEPERS)) {
+    match (pairs.text(VOTERS), pairs.text(DEPRECATED_VOTERS)) {
         (Some(_), Some(_)) => {
             let what = format!(
-                "settings {VOTERS} and {KEEPERS} are both given: {KEEPERS} is deprecated, leave it out"
+                "settings {VOTERS} and {DEPRECATED_VOTERS} are both given: {DEPRECATED_VOTERS} is deprecated, leave it out"
             );
-            pairs.fault(KEEPERS, what);
+            pairs.fault(DEPRECATED_VOTERS, what);
             VOTERS
         }
         (None, Some(_)) => {
             tracing::warn!(
-                "setting {KEEPERS} is deprecated and the next release no longer reads it: use {VOTERS}"
+                "setting {DEPRECATED_VOTERS} is deprecated and the next release no longer reads it: use {VOTERS}"
             );
-            KEEPERS
+            DEPRECATED_VOTERS
         }
         _ => VOTERS,
     }
 }
 
-fn named_place(pairs: &Pairs, key: &str) -> Option<String> {
+fn report_malformed(pairs: &Pairs, key: &str, text: &str) {
+    if !text.is_empty() {
+        pairs.fault(key, format!("setting {key} is malformed: {text}"));
+    }
+}
+
+fn read_listen(pairs: &Pairs) -> SocketAddr {
+    let text = pairs.required("fleet.listen");
+    text.parse().unwrap_or_else(|_| {
+        report_malformed(pairs, "fleet.listen", text);
+        SocketAddr::from(([127, 0, 0, 1], 0))
+    })
+}
+
+fn read_secret(pairs: &Pairs) -> String {
+    let secret = pairs.required("fleet.secret");
+    if !secret.is_empty() && secret.len() < MIN_SECRET_BYTES {
+        pairs.fault("fleet.secret", "setting fleet.secret is shorter than 16 characters");
+    }
+    secret.to_owned()
+}
+
+fn read_address(pairs: &Pairs) -> Option<SocketAddr> {
+    let text = pairs.text("fleet.address")?;
+    let address = text.parse().ok();
+    if address.is_none() {
+        report_malformed(pairs, "fleet.address", text);
+    }
+    address
+}
+
+fn read_relay(pairs: &Pairs) -> bool {
+    match pairs.text("fleet.relay") {
+        Some("yes") => true,
+        None | Some("no" | "") => false,
+        Some(other) => {
+            report_malformed(pairs, "fleet.relay", other);
+            false
+        }
+    }
+}
+
+/// Reads a list of heads, `name=address` joined by commas.
+fn read_heads(pairs: &Pairs, key: &str, text: &str) -> BTreeMap<String, SocketAddr> {
+    let mut heads = BTreeMap::new();
+    for head in text.split(',').filter(|head| !head.is_empty()) {
+        match head.trim().split_once('=').map(|(name, address)| (name, address.parse())) {
+            Some((name, Ok(address))) if !name.is_empty() => {
+                if heads.insert(name.to_owned(), address).is_some() {
+                    pairs.fault(key, format!("setting {key} names {name} twice"));
+                }
+            }
+            _ => report_malformed(pairs, key, head),
+        }
+    }
+    heads
+}
+
+/// Reads the name of a zone or a region.
+fn read_place(pairs: &Pairs, key: &str) -> Option<String> {
     pairs.text(key).filter(|place| !place.is_empty()).map(str::to_owned)
 }
 
-/// Where the command line finds this head: its own address as others know it, or where it listens.
+/// The address at which the command line reaches this head: the one that other heads use, or where it listens.
 pub fn own_address(settings: &Settings, head: &str) -> SocketAddr {
     settings.routes().get(head).copied().or(settings.address).unwrap_or(settings.listen)
 }
--- /dev/null
+++ b/crates/cluster/src/state_machine.rs
@@ -0,0 +1,272 @@
+//! The state machine of the consensus library: applies committed entries, builds snapshots and installs them.
+//!
+//! The state is in memory; the disk has the last snapshot and the log behind it. Beside the state that this head applies
+//! as a voter, it has the view that it receives as a follower, and readers see the newer of the two. Only the consensus
+//! library and the [follower](crate::follow) may change them.
+
+use crate::disk::{Disk, crash_point};
+use crate::raft_log::storage_error;
+use crate::types::{Entry, LogId, Membership, RaftTypes, SnapshotMeta, StorageError};
+use openraft::storage::RaftStateMachine;
+use openraft::{EntryPayload, ErrorVerb, OptionalSend, RaftSnapshotBuilder, Snapshot};
+use sedgerun_replication::record::{self, CorruptRecord, RecordType};
+use sedgerun_replication::state::{ChangeOutcome, ReplicatedState};
+use sedgerun_replication::view::View;
+use std::collections::BTreeMap;
+use std::io::Cursor;
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use thiserror::Error;
+use tokio::sync::watch;
+
+/// A snapshot and its encoded state.
+type EncodedSnapshot = (SnapshotMeta, Vec<u8>);
+
+/// The state of a snapshot cannot be decoded.
+#[derive(Debug, Error)]
+#[error("state of a snapshot: {0}")]
+pub struct CorruptSnapshot(#[source] CorruptRecord);
+
+/// The state machine, shared by all readers.
+#[derive(Clone)]
+pub struct StateMachine {
+    disk: Disk,
+    data: Arc<Mutex<MachineData>>,
+    version: Arc<watch::Sender<u64>>,
+}
+
+struct MachineData {
+    /// What this head has applied as a voter.
+    state: ReplicatedState,
+    /// What it has received as a follower, if that is newer.
+    followed: View,
+    /// The last entry that was applied.
+    applied: Option<LogId>,
+    membership: Membership,
+    snapshot: Option<(SnapshotMeta, Arc<Vec<u8>>)>,
+}
+
+impl MachineData {
+    /// The newer of the two, which are of one history.
+    fn view(&self) -> &View {
+        if self.followed.version > self.state.view.version { &self.followed } else { &self.state.view }
+    }
+
+    /// The state of a snapshot, or an empty one, with the log entries up to an index applied.
+    fn replay(
+        snapshot: Option<EncodedSnapshot>,
+        log: &BTreeMap<u64, Entry>,
+        upto: u64,
+    ) -> Result<MachineData, CorruptSnapshot> {
+        let mut data = MachineData {
+            state: ReplicatedState::default(),
+            followed: View::default(),
+            applied: None,
+            membership: Membership::default(),
+            snapshot: None,
+        };
+        if let Some((meta, bytes)) = snapshot {
+            data.state = decode_state(&bytes)?;
+            (data.applied, data.membership) = (meta.last_log_id, meta.last_membership.clone());
+            data.snapshot = Some((meta, Arc::new(bytes)));
+        }
+        let from = data.applied.map_or(0, |applied| applied.index + 1);
+        if from <= upto {
+            log.range(from..=upto).for_each(|(_, entry)| drop(data.apply(entry.clone())));
+        }
+        Ok(data)
+    }
+
+    fn apply(&mut self, entry: Entry) -> Vec<ChangeOutcome> {
+        self.applied = Some(entry.log_id);
+        match entry.payload {
+            EntryPayload::Normal(changes) => {
+                changes.into_iter().map(|change| self.state.apply(change)).collect()
+            }
+            EntryPayload::Membership(membership) => {
+                self.membership = Membership::new(Some(entry.log_id), membership);
+                Vec::new()
+            }
+            EntryPayload::Blank => Vec::new(),
+        }
+    }
+
+    /// Drops what was received as a follower once the state of its own is as new.
+    fn drop_outdated_view(&mut self) {
+        if self.followed.version > 0 && self.followed.version <= self.state.view.version {
+            self.followed = View::default();
+        }
+    }
+}
+
+impl StateMachine {
+    /// The state of a snapshot, or an empty one, with the entries applied that were known to be committed.
+    ///
+    /// # Errors
+    /// The state of the snapshot cannot be decoded.
+    pub fn new(
+        disk: Disk,
+        snapshot: Option<EncodedSnapshot>,
+        log: &BTreeMap<u64, Entry>,
+        committed: Option<LogId>,
+        followed: View,
+    ) -> Result<StateMachine, CorruptSnapshot> {
+        // Applied here, so that the serving thread has them before it serves.
+        let mut data = MachineData::replay(snapshot, log, committed.map_or(0, |at| at.index))?;
+        data.followed = followed;
+        let version = Arc::new(watch::Sender::new(data.view().version));
+        Ok(StateMachine { disk, data: Arc::new(Mutex::new(data)), version })
+    }
+
+    fn lock(&self) -> MutexGuard<'_, MachineData> {
+        self.data.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    /// Reads the newest view of this head; `read` must be short, as it holds the lock.
+    pub fn read<T>(&self, read: impl FnOnce(&View) -> T) -> T {
+        read(self.lock().view())
+    }
+
+    /// The version that this head has applied as a voter.
+    pub fn applied_version(&self) -> u64 {
+        self.lock().state.view.version
+    }
+
+    /// Applies an update that this head receives as a follower.
+    pub fn update_followed<T>(&self, update: impl FnOnce(&mut View) -> T) -> T {
+        let updated = {
+            let mut data = self.lock();
+            // What it has applied as a voter may be newer; then the update is applied to that.
+            if data.followed.version < data.state.view.version {
+                data.followed = data.state.view.clone();
+            }
+            update(&mut data.followed)
+        };
+        self.publish();
+        updated
+    }
+
+    /// What this head has received as a follower, if that is newer than what it has applied.
+    pub fn followed(&self) -> Option<View> {
+        let data = self.lock();
+        (data.followed.version > data.state.view.version).then(|| data.followed.clone())
+    }
+
+    /// The version of what it has received as a follower; 0 for nothing.
+    pub fn followed_version(&self) -> u64 {
+        self.lock().followed.version
+    }
+
+    /// The membership, as last applied.
+    pub fn membership(&self) -> Membership {
+        self.lock().membership.clone()
+    }
+
+    /// The version of the newest view, as it changes.
+    pub fn version(&self) -> watch::Receiver<u64> {
+        self.version.subscribe()
+    }
+
+    fn publish(&self) {
+        let version = self.lock().view().version;
+        self.version.send_if_modified(|known| std::mem::replace(known, version) != version);
+    }
+}
+
+/// The state of a snapshot, or an empty one, with the log entries up to an index applied.
+///
+/// # Errors
+/// The state of the snapshot cannot be decoded.
+pub fn replay(
+    snapshot: Option<EncodedSnapshot>,
+    log: &BTreeMap<u64, Entry>,
+    upto: u64,
+) -> Result<ReplicatedState, CorruptSnapshot> {
+    Ok(MachineData::replay(snapshot, log, upto)?.state)
+}
+
+fn decode_state(bytes: &[u8]) -> Result<ReplicatedState, CorruptSnapshot> {
+    record::open(RecordType::Snapshot, bytes).map_err(CorruptSnapshot)
+}
+
+impl RaftSnapshotBuilder<RaftTypes> for StateMachine {
+    async fn build_snapshot(&mut self) -> Result<Snapshot<RaftTypes>, StorageError> {
+        let (state, applied, membership) = {
+            let data = self.lock();
+            (data.state.clone(), data.applied, data.membership.clone())
+        };
+        let bytes = record::seal(RecordType::Snapshot, &state);
+        let bytes = bytes.map_err(|error| storage_error(ErrorVerb::Write, error))?;
+        let index = applied.map_or(0, |applied| applied.index);
+        let term = applied.map_or(0, |applied| applied.leader_id.term);
+        let meta = SnapshotMeta {
+            last_log_id: applied,
+            last_membership: membership,
+            snapshot_id: format!("{term}-{index}"),
+        };
+        let saved = self.disk.put_snapshot(&meta, &bytes).await;
+        saved.map_err(|error| storage_error(ErrorVerb::Write, error))?;
+        self.lock().snapshot = Some((meta.clone(), Arc::new(bytes.clone())));
+        Ok(Snapshot { meta, snapshot: Box::new(Cursor::new(bytes)) })
+    }
+}
+
+impl RaftStateMachine<RaftTypes> for StateMachine {
+    type SnapshotBuilder = StateMachine;
+
+    async fn applied_state(&mut self) -> Result<(Option<LogId>, Membership), StorageError> {
+        let data = self.lock();
+        Ok((data.applied, data.membership.clone()))
+    }
+
+    async fn apply<I>(&mut self, entries: I) -> Result<Vec<Vec<ChangeOutcome>>, StorageError>
+    where
+        I: IntoIterator<Item = Entry> + OptionalSend,
+        I::IntoIter: OptionalSend,
+    {
+        let outcomes = {
+            let mut data = self.lock();
+            let outcomes = entries.into_iter().map(|entry| data.apply(entry)).collect();
+            data.drop_outdated_view();
+            outcomes
+        };
+        self.publish();
+        Ok(outcomes)
+    }
+
+    async fn get_snapshot_builder(&mut self) -> StateMachine {
+        self.clone()
+    }
+
+    async fn begin_receiving_snapshot(&mut self) -> Result<Box<Cursor<Vec<u8>>>, StorageError> {
+        Ok(Box::new(Cursor::new(Vec::new())))
+    }
+
+    async fn install_snapshot(
+        &mut self,
+        meta: &SnapshotMeta,
+        snapshot: Box<Cursor<Vec<u8>>>,
+    ) -> Result<(), StorageError> {
+        let bytes = snapshot.into_inner();
+        let state = decode_state(&bytes).map_err(|error| storage_error(ErrorVerb::Read, error))?;
+        let saved = self.disk.put_snapshot(meta, &bytes).await;
+        saved.map_err(|error| storage_error(ErrorVerb::Write, error))?;
+        crash_point("after a snapshot is taken over");
+        {
+            let mut data = self.lock();
+            (data.state, data.applied) = (state, meta.last_log_id);
+            data.membership = meta.last_membership.clone();
+            data.snapshot = Some((meta.clone(), Arc::new(bytes)));
+            data.drop_outdated_view();
+        }
+        self.publish();
+        Ok(())
+    }
+
+    async fn get_current_snapshot(&mut self) -> Result<Option<Snapshot<RaftTypes>>, StorageError> {
+        let snapshot = self.lock().snapshot.clone();
+        Ok(snapshot.map(|(meta, bytes)| {
+            let bytes = Box::new(Cursor::new(bytes.as_ref().clone()));
+            Snapshot { meta, snapshot: bytes }
+        }))
+    }
+}
--- a/crates/cluster/src/traffic.rs
+++ b/crates/cluster/src/traffic.rs
@@ -1,4 +1,4 @@
-//! Counters of what passes through sockets: payload bytes and whole messages, each way.
+//! Counters of traffic through sockets: payload bytes and complete messages, in each direction.
 
 use serde::{Deserialize, Serialize};
 use std::io;
@@ -24,29 +24,29 @@
     pub bytes_received: u64,
     /// Bytes sent.
     pub bytes_sent: u64,
-    /// Messages received whole.
+    /// Complete messages received.
     pub messages_received: u64,
     /// Messages sent.
     pub messages_sent: u64,
 }
 
 impl Traffic {
-    /// Counts bytes that a socket gave.
+    /// Counts bytes read from a socket.
     pub fn add_bytes_received(&self, bytes: usize) {
         self.bytes_received.fetch_add(bytes as u64, Ordering::Relaxed);
     }
 
-    /// Counts bytes that a socket took.
+    /// Counts bytes written to a socket.
     pub fn add_bytes_sent(&self, bytes: usize) {
         self.bytes_sent.fetch_add(bytes as u64, Ordering::Relaxed);
     }
 
-    /// Counts one message that came whole.
+    /// Counts one complete message received.
     pub fn add_message_received(&self) {
         self.messages_received.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Counts one message that was sent.
+    /// Counts one message sent.
     pub fn add_message_sent(&self) {
         self.messages_sent.fetch_add(1, Ordering::Relaxed);
     }
@@ -68,7 +68,7 @@
         self.bytes_received + self.bytes_sent
     }
 
-    /// Both together.
+    /// The sum of both.
     pub fn plus(&self, other: &TrafficTotals) -> TrafficTotals {
         TrafficTotals {
             bytes_received: self.bytes_received + other.bytes_received,
@@ -78,10 +78,10 @@
         }
     }
 
-    /// The totals under the names that operators read: bytes received and sent, messages received and sent.
+    /// The totals under these metric names: bytes received and sent, messages received and sent.
     pub fn named(&self, names: [&'static str; 4]) -> [(&'static str, u64); 4] {
         let totals = [self.bytes_received, self.bytes_sent, self.messages_received, self.messages_sent];
-        std::array::from_fn(|place| (names[place], totals[place]))
+        std::array::from_fn(|i| (names[i], totals[i]))
     }
 }
 
@@ -93,12 +93,12 @@
 }
 
 impl<S> Counted<S> {
-    /// Counts a connection's payload here.
+    /// Counts a connection's payload in `traffic`.
     pub fn new(stream: S, traffic: Arc<Traffic>) -> Counted<S> {
         Counted { stream, traffic }
     }
 
-    /// Where it is counted.
+    /// The counters.
     pub fn traffic(&self) -> &Traffic {
         &self.traffic
     }
--- a/crates/cluster/src/upstream.rs
+++ b/crates/cluster/src/upstream.rs
@@ -1,8 +1,11 @@
-//! Serving updates to followers.
+//! Serving updates to followers, as their upstream.
+//!
+//! Which followers are served is decided by [`Followers`](sedgerun_replication::follow::Followers), and what each of them
+//! gets by [`UpdateSource`]; here the polls wait for changes, and large transfers for permits.
 
-use super::environment::now;
-use super::member::Member;
-use super::types::{DistributionStatus, Reply, UpdateRequest};
+use crate::environment::now;
+use crate::member::Member;
+use crate::types::{DistributionStatus, PeerResponse, UpdateRequest};
 use sedgerun_replication::follow::{Admission, Downstream, Peer, PollingFollower, UpdateReply};
 use sedgerun_replication::greeting::Greeting;
 use sedgerun_replication::relay::{Directory, FollowerRole, RelayStatus};
@@ -16,13 +19,20 @@
 use sedgerun_replication::view::Chunk;
 use std::time::Duration;
 
-/// Size of one chunk of an update, about, in bytes.
+/// Approximate size of one chunk of an update, in bytes.
 const CHUNK_BYTES: usize = 256 << 10;
 
+/// The refusal of a head that shares its name with another.
+const DUPLICATE_NAME: &str = "two heads have this name";
+/// The refusal of a head that has no state to serve yet.
+const NO_STATE_YET: &str = "has heard nothing of the fleet yet";
+
 impl Member {
-    /// Answers a follower: with an update as soon as there is one.
-    pub async fn serve_subscription(&self, subscription: Subscription, from: &Greeting) -> Reply {
-        let Some(store) = from.store else { return Reply::Refused("a follower has a store".into()) };
+    /// Answers the poll of a follower: with an update as soon as there is one.
+    pub async fn serve_subscription(&self, subscription: Subscription, from: &Greeting) -> PeerResponse {
+        let Some(store) = from.store else {
+            return PeerResponse::Refused("a follower has a store".into());
+        };
         let downstream = Downstream {
             at: Peer { head: from.head.clone(), address: from.address.clone() },
             store,
@@ -31,86 +41,88 @@
             incarnation: from.incarnation.count,
         };
         let (role, bypass_relays) = (subscription.role, subscription.bypass_relays);
-        let asker =
-            PollingFollower { downstream, role, bypass_relays, summary: subscription.summary.clone() };
+        let summary = subscription.summary.clone();
+        let follower = PollingFollower { downstream, role, bypass_relays, summary };
         let directory = self.directory();
         let relays_known = directory.as_ref().is_some_and(|directory| !directory.is_empty());
-        let admission = self.followers().admit(now(), asker, relays_known);
+        let admission = self.followers().admit(now(), follower, relays_known);
         match admission {
             Admission::Admitted => {}
             Admission::RedirectedToRelays => return redirected(directory, subscription.cached, Vec::new()),
-            Admission::Full => return redirected(directory, subscription.cached, self.followers().peers()),
-            Admission::DuplicateName => return Reply::Refused("two heads have this name".into()),
+            Admission::Full => {
+                return redirected(directory, subscription.cached, self.followers().peers());
+            }
+            Admission::DuplicateName => return PeerResponse::Refused(DUPLICATE_NAME.into()),
         }
         let wait = subscription.wait.min(MAX_POLL_WAIT_MS);
         self.wait_for_change(wait, |version| !is_up_to_date(&subscription, version)).await;
-        let Some(source) = self.source() else {
-            return Reply::Refused("has heard nothing of the fleet yet".into());
+        let Some(source) = self.update_source() else {
+            return PeerResponse::Refused(NO_STATE_YET.into());
         };
-        Reply::Subscribed(self.update_within_slots(&source, &subscription, store))
+        PeerResponse::Subscribed(self.update_within_permits(&source, &subscription, store))
     }
 
-    /// The update for a follower, or when it may ask again where enough large transfers go on.
-    fn update_within_slots(
+    /// The update for a follower, or a retry-after while enough large transfers are in progress.
+    fn update_within_permits(
         &self,
         source: &UpdateSource,
         subscription: &Subscription,
         store: StoreId,
     ) -> SubscribeReply {
-        let has_slot = self.transfer_slots().is_available(now(), store);
-        // One that would be refused is not made in full.
-        let max_bytes = if has_slot { CHUNK_BYTES } else { SMALL_CHUNK_BYTES };
-        let update = self.machine.read(|view| source.update(view, subscription, max_bytes));
+        let may_transfer = self.transfer_permits().is_available(now(), store);
+        // A large chunk that could not be sent is not built.
+        let max_bytes = if may_transfer { CHUNK_BYTES } else { SMALL_CHUNK_BYTES };
+        let update = self.state_machine.read(|view| source.update(view, subscription, max_bytes));
         if update.chunk.as_ref().is_some_and(needs_permit)
-            && let Err(wait) = self.transfer_slots().acquire(now(), store)
+            && let Err(wait) = self.transfer_permits().acquire(now(), store)
         {
             return SubscribeReply::RetryAfter(wait);
         }
         if update.chunk.as_ref().is_none_or(|chunk| chunk.upto == chunk.version) {
-            self.transfer_slots().release(store);
+            self.transfer_permits().release(store);
         }
         SubscribeReply::Update(update)
     }
 
-    /// Answers a follower of an earlier version.
-    pub async fn serve_update(&self, request: UpdateRequest, from: &Greeting) -> Reply {
+    /// Answers the poll of a follower of an earlier version.
+    pub async fn serve_update(&self, request: UpdateRequest, from: &Greeting) -> PeerResponse {
         if from.store != Some(request.follower.store) {
-            return Reply::Refused("a follower asks for another store than its own".into());
+            return PeerResponse::Refused("a follower asks for another store than its own".into());
         }
         let UpdateRequest { follower, subtree, since, first_version, wait_ms } = request;
-        let held = follower.version;
-        let asker = PollingFollower {
+        let version_of_follower = follower.version;
+        let follower = PollingFollower {
             downstream: follower,
             role: FollowerRole::Head,
-            // It cannot say whether it reaches a relay, so it is served as it was before there were relays.
+            // It cannot say whether it reaches a relay, so it is served as before there were relays.
             bypass_relays: true,
             summary: subtree.map(Summary::of_list),
         };
-        let admission = self.followers().admit(now(), asker, false);
+        let admission = self.followers().admit(now(), follower, false);
         match admission {
             Admission::Admitted => {}
-            Admission::DuplicateName => return Reply::Refused("two heads have this name".into()),
+            Admission::DuplicateName => return PeerResponse::Refused(DUPLICATE_NAME.into()),
             Admission::Full | Admission::RedirectedToRelays => {
-                return Reply::Update(None, UpdateReply::Full { redirect: self.legacy_redirect() });
+                return PeerResponse::Update(None, UpdateReply::Full { redirect: self.legacy_redirect() });
             }
         }
-        // One that is ahead of this head goes elsewhere at once.
-        let has_news = |version| first_version != 0 || held != since || version != since;
-        self.wait_for_change(wait_ms.min(RELAY_WAIT_MS), has_news).await;
-        let Some(UpdateSource { route, age, .. }) = self.source() else {
-            return Reply::Refused("has heard nothing of the fleet yet".into());
+        // A follower that is ahead of this head is answered at once, so that it looks for another.
+        let is_due = |version| first_version != 0 || version_of_follower != since || version != since;
+        self.wait_for_change(wait_ms.min(RELAY_WAIT_MS), is_due).await;
+        let Some(UpdateSource { route, age, .. }) = self.update_source() else {
+            return PeerResponse::Refused(NO_STATE_YET.into());
         };
         let Route { origin, path, leader, voters } = route;
         let chunk = self.serve_chunk(since, first_version);
-        Reply::Update(origin, UpdateReply::Chunk { chunk, path, age, leader, voters })
+        PeerResponse::Update(origin, UpdateReply::Chunk { chunk, path, age, leader, voters })
     }
 
-    /// The next chunk for a head that holds all up to `since`, in a transfer that began at `first_version`.
+    /// The next chunk for a head that has everything up to `since`, in a transfer that began at `first_version`.
     pub fn serve_chunk(&self, since: u64, first_version: u64) -> Chunk {
-        self.machine.read(|view| view.chunk(since, first_version, CHUNK_BYTES))
+        self.state_machine.read(|view| view.chunk(since, first_version, CHUNK_BYTES))
     }
 
-    /// Where a follower of an earlier version may find room: at the relays, and at this head's own followers.
+    /// Where a follower of an earlier version may be served: by the relays, and by this head's own followers.
     fn legacy_redirect(&self) -> Vec<Peer> {
         let directory = self.directory().unwrap_or_default();
         let mut peers: Vec<Peer> = directory.relays().iter().map(|relay| relay.peer.clone()).collect();
@@ -119,15 +131,15 @@
         peers
     }
 
-    /// Waits until there is news at this head's version, for so many milliseconds at the most.
-    async fn wait_for_change(&self, wait: u64, has_news: impl Fn(u64) -> bool) {
-        let mut versions = self.machine.version();
-        let changed = versions.wait_for(|version| has_news(*version));
-        let _ = tokio::time::timeout(Duration::from_millis(wait), changed).await;
+    /// Waits until an answer is due at this head's version, for `wait_ms` milliseconds at most.
+    async fn wait_for_change(&self, wait_ms: u64, is_due: impl Fn(u64) -> bool) {
+        let mut versions = self.state_machine.version();
+        let changed = versions.wait_for(|version| is_due(*version));
+        let _ = tokio::time::timeout(Duration::from_millis(wait_ms), changed).await;
     }
 
-    /// What this head has to serve beside its view; `None` before it has heard of a fleet.
-    fn source(&self) -> Option<UpdateSource> {
+    /// What this head has to serve beside its view; `None` before its first update.
+    fn update_source(&self) -> Option<UpdateSource> {
         let (path, age) = self.path_and_age();
         let (age, own) = (age?, self.links.own());
         let origin = Some(own.origin?);
@@ -137,14 +149,14 @@
         Some(UpdateSource { route, age, directory: self.directory() })
     }
 
-    /// The relays that this head knows: as a voter by their leases, else from its upstream; `None` where it does not
-    /// know whether there are any.
+    /// The relays that this head knows: as a voter by their leases, else from its upstream; `None` if it does not know
+    /// whether there are any.
     pub fn directory(&self) -> Option<Directory> {
         let registered = self.voting_registry().directory(now());
         registered.or_else(|| self.follower().directory().cloned())
     }
 
-    /// How this head stands among relays and followers.
+    /// The position of this head among relays and followers.
     pub fn distribution(&self) -> DistributionStatus {
         let summary = self.followers().summary(now());
         let direct_followers = u32::try_from(self.followers().count(now())).unwrap_or(u32::MAX);
@@ -169,6 +181,6 @@
     }
 }
 
-fn redirected(directory: Option<Directory>, held: CachedDigests, peers: Vec<Peer>) -> Reply {
-    Reply::Subscribed(SubscribeReply::Redirect(redirect(directory.as_ref(), held, peers)))
+fn redirected(directory: Option<Directory>, cached: CachedDigests, peers: Vec<Peer>) -> PeerResponse {
+    PeerResponse::Subscribed(SubscribeReply::Redirect(redirect(directory.as_ref(), cached, peers)))
 }
--- a/crates/cluster/src/voter_connection.rs
+++ b/crates/cluster/src/voter_connection.rs
@@ -1,8 +1,11 @@
-//! The consensus library's calls to other voters, and the answers to theirs.
+//! Raft over connections between heads: the consensus library's requests to other voters, and its responses to theirs.
+//!
+//! Each [`VoterConnection`] belongs to the consensus library, which retries. What a voter acknowledges here is noted as
+//! its watermark.
 
-use super::frame::{CountedConnection, exchange, within};
-use super::link::Links;
-use super::types::{Call, Raft, Reply, Types, VoterAddress};
+use crate::frame::{CountedConnection, exchange, within};
+use crate::link::Links;
+use crate::types::{PeerRequest, PeerResponse, Raft, RaftTypes, VoterAddress};
 use openraft::error::{InstallSnapshotError, NetworkError, RPCError, RaftError, RemoteError, Unreachable};
 use openraft::network::RPCOption;
 use openraft::raft::{
@@ -26,15 +29,15 @@
 }
 
 impl VoterConnection {
-    /// One call; its connection is kept only while all goes well.
-    async fn call(&mut self, call: &Call, option: &RPCOption) -> io::Result<Reply> {
+    /// Sends a request; the connection is kept until an error.
+    async fn request(&mut self, request: &PeerRequest, option: &RPCOption) -> io::Result<PeerResponse> {
         let to = self.to.ok_or_else(|| io::Error::other("no address"))?;
-        let called = async {
+        let exchanged = async {
             let mut stream = match self.stream.take() {
                 Some(stream) => stream,
                 None => {
                     let (stream, greeting) = self.links.dial(to).await?;
-                    // Guards against counting another store in the place of the voter that lived there.
+                    // Guards against counting another store in the place of the voter that had this address.
                     if greeting.store != Some(self.target) {
                         return Err(io::Error::other("another store lives there"));
                     }
@@ -42,15 +45,15 @@
                     stream
                 }
             };
-            let reply = exchange(&mut stream, call).await?;
+            let response = exchange(&mut stream, request).await?;
             self.stream = Some(stream);
-            // Guards against a voter that answers and stores nothing any more: it counts as silent.
-            if !matches!(reply, Reply::Refused(_)) {
-                self.links.note_answer(self.target);
+            // Guards against a voter that answers but no longer stores anything: it counts as silent.
+            if !matches!(response, PeerResponse::Refused(_)) {
+                self.links.record_answer(self.target);
             }
-            Ok(reply)
+            Ok(response)
         };
-        within(option.hard_ttl(), called).await
+        within(option.hard_ttl(), exchanged).await
     }
 }
 
@@ -58,25 +61,25 @@
     RPCError::Unreachable(Unreachable::new(error))
 }
 
-/// An answer that says no, or is none to what was asked.
-fn refused<E: std::error::Error>(reply: &Reply) -> RPCError<StoreId, VoterAddress, E> {
-    let what = match reply {
-        Reply::Refused(why) => why.clone(),
+/// The error for a refusal, or for a response that does not fit the request.
+fn refused<E: std::error::Error>(response: &PeerResponse) -> RPCError<StoreId, VoterAddress, E> {
+    let what = match response {
+        PeerResponse::Refused(why) => why.clone(),
         _ => "an answer to something else".to_owned(),
     };
     RPCError::Network(NetworkError::new(&io::Error::other(what)))
 }
 
-impl RaftNetwork<Types> for VoterConnection {
+impl RaftNetwork<RaftTypes> for VoterConnection {
     async fn append_entries(
         &mut self,
-        rpc: AppendEntriesRequest<Types>,
+        rpc: AppendEntriesRequest<RaftTypes>,
         option: RPCOption,
     ) -> Result<AppendEntriesResponse<StoreId>, RPCError<StoreId, VoterAddress, RaftError<StoreId>>> {
         let last = rpc.entries.last().map(|entry| entry.log_id).or(rpc.prev_log_id);
         let vote = rpc.vote.leader_id().term;
-        match self.call(&Call::Append(rpc), &option).await {
-            Ok(Reply::Append(answer)) => {
+        match self.request(&PeerRequest::Append(rpc), &option).await {
+            Ok(PeerResponse::Append(answer)) => {
                 if let AppendEntriesResponse::Success = answer {
                     let last = last.map_or((0, 0), |last| (last.leader_id.term, last.index));
                     self.links.observe(self.target, self.incarnation, Watermark { vote, last });
@@ -90,15 +93,15 @@
 
     async fn install_snapshot(
         &mut self,
-        rpc: InstallSnapshotRequest<Types>,
+        rpc: InstallSnapshotRequest<RaftTypes>,
         option: RPCOption,
     ) -> Result<
         InstallSnapshotResponse<StoreId>,
         RPCError<StoreId, VoterAddress, RaftError<StoreId, InstallSnapshotError>>,
     > {
-        match self.call(&Call::Snapshot(rpc), &option).await {
-            Ok(Reply::Snapshot(answer)) => Ok(answer),
-            Ok(Reply::Mismatch(mismatch)) => {
+        match self.request(&PeerRequest::Snapshot(rpc), &option).await {
+            Ok(PeerResponse::Snapshot(answer)) => Ok(answer),
+            Ok(PeerResponse::Mismatch(mismatch)) => {
                 let error = RaftError::APIError(InstallSnapshotError::SnapshotMismatch(mismatch));
                 Err(RPCError::RemoteError(RemoteError::new(self.target, error)))
             }
@@ -113,8 +116,8 @@
         option: RPCOption,
     ) -> Result<VoteResponse<StoreId>, RPCError<StoreId, VoterAddress, RaftError<StoreId>>> {
         let vote = rpc.vote.leader_id().term;
-        match self.call(&Call::Vote(rpc), &option).await {
-            Ok(Reply::Vote(answer)) => {
+        match self.request(&PeerRequest::Vote(rpc), &option).await {
+            Ok(PeerResponse::Vote(answer)) => {
                 if answer.vote_granted {
                     let watermark = Watermark { vote, ..Watermark::default() };
                     self.links.observe(self.target, self.incarnation, watermark);
@@ -127,7 +130,7 @@
     }
 }
 
-impl RaftNetworkFactory<Types> for Links {
+impl RaftNetworkFactory<RaftTypes> for Links {
     type Network = VoterConnection;
 
     async fn new_client(&mut self, target: StoreId, node: &VoterAddress) -> VoterConnection {
@@ -136,18 +139,25 @@
     }
 }
 
-/// Answers a call of the protocol; `None` where it is none.
-pub async fn protocol(raft: &Raft, call: Call) -> Result<Reply, Call> {
-    let no = |error: &dyn std::error::Error| Reply::Refused(error.to_string());
-    Ok(match call {
-        Call::Append(rpc) => raft.append_entries(rpc).await.map_or_else(|error| no(&error), Reply::Append),
-        Call::Vote(rpc) => raft.vote(rpc).await.map_or_else(|error| no(&error), Reply::Vote),
-        Call::Snapshot(rpc) => match raft.install_snapshot(rpc).await {
-            Ok(answer) => Reply::Snapshot(answer),
+/// Answers a Raft request.
+///
+/// # Errors
+/// The request, if it is not one of Raft.
+pub async fn answer_raft(raft: &Raft, request: PeerRequest) -> Result<PeerResponse, PeerRequest> {
+    let refused = |error: &dyn std::error::Error| PeerResponse::Refused(error.to_string());
+    Ok(match request {
+        PeerRequest::Append(rpc) => {
+            raft.append_entries(rpc).await.map_or_else(|error| refused(&error), PeerResponse::Append)
+        }
+        PeerRequest::Vote(rpc) => {
+            raft.vote(rpc).await.map_or_else(|error| refused(&error), PeerResponse::Vote)
+        }
+        PeerRequest::Snapshot(rpc) => match raft.install_snapshot(rpc).await {
+            Ok(response) => PeerResponse::Snapshot(response),
             Err(RaftError::APIError(InstallSnapshotError::SnapshotMismatch(mismatch))) => {
-                Reply::Mismatch(mismatch)
+                PeerResponse::Mismatch(mismatch)
             }
-            Err(error) => no(&error),
+            Err(error) => refused(&error),
         },
         other => return Err(other),
     })
--- a/crates/cluster/tests/frozen_messages.rs
+++ b/crates/cluster/tests/frozen_messages.rs
@@ -19,8 +19,8 @@
 use sedgerun_cluster::disk::Identity;
 use sedgerun_cluster::settings::Settings;
 use sedgerun_cluster::types::{
-    Call, DistributionStatus, Entry, LogId, Membership, RelayRegistration, Reply, SnapshotMeta, Status,
-    UpdateRequest, Vote, VoterAddress, VoterStatus,
+    DistributionStatus, Entry, HeadStatus, LogId, Membership, PeerRequest, PeerResponse, RelayRegistration,
+    SnapshotMeta, UpdateRequest, Vote, VoterAddress, VoterStatus,
 };
 use sedgerun_replication::follow::{Downstream, Peer, UpdateReply, Voters};
 use sedgerun_replication::greeting::{Greeting, Refusal};
@@ -178,7 +178,7 @@
     }
 }
 
-fn status() -> Status {
+fn status() -> HeadStatus {
     let voter = VoterStatus {
         head: "n0".into(),
         store: STORE,
@@ -187,7 +187,7 @@
         votes: true,
         matched: Some(89_999),
     };
-    Status {
+    HeadStatus {
         fleet: "rig".into(),
         head: "n0".into(),
         store: STORE,
@@ -235,7 +235,7 @@
 }
 
 /// Calls of the consensus protocol.
-fn protocol_calls() -> Vec<(&'static str, Call)> {
+fn protocol_calls() -> Vec<(&'static str, PeerRequest)> {
     let append = AppendEntriesRequest {
         vote: Vote::new_committed(17, STORE),
         prev_log_id: Some(position(16, 89_000)),
@@ -252,15 +252,15 @@
         done: true,
     };
     vec![
-        ("append", Call::Append(append)),
-        ("heartbeat", Call::Append(heartbeat)),
-        ("vote", Call::Vote(vote)),
-        ("snapshot", Call::Snapshot(snapshot)),
+        ("append", PeerRequest::Append(append)),
+        ("heartbeat", PeerRequest::Append(heartbeat)),
+        ("vote", PeerRequest::Vote(vote)),
+        ("snapshot", PeerRequest::Snapshot(snapshot)),
     ]
 }
 
 /// All other calls.
-fn calls() -> Vec<(&'static str, Call)> {
+fn calls() -> Vec<(&'static str, PeerRequest)> {
     let request = UpdateRequest {
         follower: downstream(),
         subtree: Some(vec![downstream()]),
@@ -270,23 +270,23 @@
     };
     let registration = RelayRegistration { region: Some("north".into()), followers: 1000 };
     vec![
-        ("change", Call::Change(change("k1"), 950)),
-        ("latest", Call::Latest),
-        ("status", Call::Status),
-        ("begin", Call::Begin),
-        ("silent", Call::Silent(Some(position(17, 90_000)))),
-        ("silent_with_empty_log", Call::Silent(None)),
-        ("follow", Call::Follow(Box::new(request))),
-        ("chunk", Call::Chunk(70_001, 70_002)),
-        ("propose", Call::Propose(change("line 0123"))),
-        ("subscribe", Call::Subscribe(Box::new(subscription()))),
-        ("register_relay", Call::RegisterRelay(registration)),
-        ("distribution", Call::Distribution),
+        ("change", PeerRequest::Change(change("k1"), 950)),
+        ("latest", PeerRequest::Latest),
+        ("status", PeerRequest::Status),
+        ("begin", PeerRequest::Begin),
+        ("silent", PeerRequest::Silent(Some(position(17, 90_000)))),
+        ("silent_with_empty_log", PeerRequest::Silent(None)),
+        ("follow", PeerRequest::Follow(Box::new(request))),
+        ("chunk", PeerRequest::Chunk(70_001, 70_002)),
+        ("propose", PeerRequest::Propose(change("line 0123"))),
+        ("subscribe", PeerRequest::Subscribe(Box::new(subscription()))),
+        ("register_relay", PeerRequest::RegisterRelay(registration)),
+        ("distribution", PeerRequest::Distribution),
     ]
 }
 
 /// Replies to calls of the consensus protocol.
-fn protocol_replies() -> Vec<(&'static str, Reply)> {
+fn protocol_replies() -> Vec<(&'static str, PeerResponse)> {
     let vote = Vote::new_committed(17, STORE);
     let granted = VoteResponse { vote, vote_granted: true, last_log_id: Some(position(17, 90_000)) };
     let mismatch = SnapshotMismatch {
@@ -295,53 +295,56 @@
     };
     let partial = AppendEntriesResponse::PartialSuccess(Some(position(16, 89_001)));
     vec![
-        ("append_success", Reply::Append(AppendEntriesResponse::Success)),
-        ("append_partial_success", Reply::Append(partial)),
-        ("append_conflict", Reply::Append(AppendEntriesResponse::Conflict)),
-        ("append_higher_vote", Reply::Append(AppendEntriesResponse::HigherVote(Vote::new(18, OTHER_STORE)))),
-        ("vote", Reply::Vote(granted)),
-        ("snapshot", Reply::Snapshot(InstallSnapshotResponse { vote })),
-        ("mismatch", Reply::Mismatch(mismatch)),
+        ("append_success", PeerResponse::Append(AppendEntriesResponse::Success)),
+        ("append_partial_success", PeerResponse::Append(partial)),
+        ("append_conflict", PeerResponse::Append(AppendEntriesResponse::Conflict)),
+        (
+            "append_higher_vote",
+            PeerResponse::Append(AppendEntriesResponse::HigherVote(Vote::new(18, OTHER_STORE))),
+        ),
+        ("vote", PeerResponse::Vote(granted)),
+        ("snapshot", PeerResponse::Snapshot(InstallSnapshotResponse { vote })),
+        ("mismatch", PeerResponse::Mismatch(mismatch)),
     ]
 }
 
 /// Replies about changes and about how a head stands.
-fn replies() -> Vec<(&'static str, Reply)> {
+fn replies() -> Vec<(&'static str, PeerResponse)> {
     vec![
-        ("changed", Reply::Changed(ChangeOutcome::Done { version: 70_000, fresh: true })),
-        ("changed_missing", Reply::Changed(ChangeOutcome::Missing("no tenant horvat".into()))),
+        ("changed", PeerResponse::Changed(ChangeOutcome::Done { version: 70_000, fresh: true })),
+        ("changed_missing", PeerResponse::Changed(ChangeOutcome::Missing("no tenant horvat".into()))),
         (
             "changed_conflict",
-            Reply::Changed(ChangeOutcome::Conflict("there is an export press already".into())),
+            PeerResponse::Changed(ChangeOutcome::Conflict("there is an export press already".into())),
         ),
-        ("changed_stale", Reply::Changed(ChangeOutcome::Stale(69_999))),
-        ("changed_reused", Reply::Changed(ChangeOutcome::Reused)),
-        ("latest", Reply::Latest(70_000)),
-        ("status", Reply::Status(Box::new(status()))),
-        ("status_of_new_head", Reply::Status(Box::default())),
-        ("begun", Reply::Begun),
-        ("silent", Reply::Silent(STORE, true)),
-        ("chunk", Reply::Chunk(chunk())),
-        ("not_leader", Reply::NotLeader(Some(voter("n1")))),
-        ("not_leader_and_none_known", Reply::NotLeader(None)),
-        ("refused", Reply::Refused("has just started".into())),
-        ("registered", Reply::Registered),
-        ("distribution", Reply::Distribution(Box::new(distribution()))),
+        ("changed_stale", PeerResponse::Changed(ChangeOutcome::Stale(69_999))),
+        ("changed_reused", PeerResponse::Changed(ChangeOutcome::Reused)),
+        ("latest", PeerResponse::Latest(70_000)),
+        ("status", PeerResponse::Status(Box::new(status()))),
+        ("status_of_new_head", PeerResponse::Status(Box::default())),
+        ("begun", PeerResponse::Begun),
+        ("silent", PeerResponse::Silent(STORE, true)),
+        ("chunk", PeerResponse::Chunk(chunk())),
+        ("not_leader", PeerResponse::NotLeader(Some(voter("n1")))),
+        ("not_leader_and_none_known", PeerResponse::NotLeader(None)),
+        ("refused", PeerResponse::Refused("has just started".into())),
+        ("registered", PeerResponse::Registered),
+        ("distribution", PeerResponse::Distribution(Box::new(distribution()))),
     ]
 }
 
 /// Replies to the polls of followers.
-fn poll_replies() -> Vec<(&'static str, Reply)> {
+fn poll_replies() -> Vec<(&'static str, PeerResponse)> {
     let (path, leader, voters) = (vec!["n0".to_owned()], Some(peer("n0")), voters());
     let legacy = UpdateReply::Chunk { chunk: chunk(), path, age: 1500, leader, voters };
     let full = UpdateReply::Full { redirect: vec![peer("n4")] };
     let redirect = Redirect { directory: Some(Directory::new([relay()])), peers: vec![peer("n4")] };
     vec![
-        ("update", Reply::Update(Some(OTHER_STORE), legacy)),
-        ("update_full", Reply::Update(None, full)),
-        ("subscribed_update", Reply::Subscribed(SubscribeReply::Update(update()))),
-        ("subscribed_redirect", Reply::Subscribed(SubscribeReply::Redirect(redirect))),
-        ("subscribed_retry_after", Reply::Subscribed(SubscribeReply::RetryAfter(400))),
+        ("update", PeerResponse::Update(Some(OTHER_STORE), legacy)),
+        ("update_full", PeerResponse::Update(None, full)),
+        ("subscribed_update", PeerResponse::Subscribed(SubscribeReply::Update(update()))),
+        ("subscribed_redirect", PeerResponse::Subscribed(SubscribeReply::Redirect(redirect))),
+        ("subscribed_retry_after", PeerResponse::Subscribed(SubscribeReply::RetryAfter(400))),
     ]
 }
 
@@ -440,8 +443,8 @@
 fn the_client_frames_its_calls_reads_replies_and_writes_a_backup_as_recorded() {
     let answers = [
         ("greeting_answer", framed(RecordType::Greeting, &Ok::<Greeting, Refusal>(greeting()))),
-        ("reply_latest", framed(RecordType::Reply, &Reply::Latest(302))),
-        ("reply_chunk", framed(RecordType::Reply, &Reply::Chunk(chunk()))),
+        ("reply_latest", framed(RecordType::Reply, &PeerResponse::Latest(302))),
+        ("reply_chunk", framed(RecordType::Reply, &PeerResponse::Chunk(chunk()))),
     ];
     let mut lines = section("frame");
     for (name, frame) in &answers {
@@ -469,14 +472,14 @@
     std::fs::write(&file, unhex(line)).expect("a file");
     let answers = vec![
         framed(RecordType::Greeting, &Ok::<Greeting, Refusal>(greeting())),
-        framed(RecordType::Reply, &Reply::Changed(ChangeOutcome::Done { version: 2, fresh: true })),
+        framed(RecordType::Reply, &PeerResponse::Changed(ChangeOutcome::Done { version: 2, fresh: true })),
     ];
     let (address, served) = stand_in(answers);
     client::restore(&settings(address), "n9", &file).expect("a restored backup");
     std::fs::remove_file(&file).expect("a backup");
     let read = served.join().expect("the stand-in");
     match record::open(RecordType::Call, &read[1][4..]) {
-        Ok(Call::Propose(Change { expect: None, command: Command::Restore(restored), .. })) => {
+        Ok(PeerRequest::Propose(Change { expect: None, command: Command::Restore(restored), .. })) => {
             assert_eq!(restored, objects());
         }
         other => panic!("{other:?}"),
--- a/crates/sedgerun/src/admin/cluster.rs
+++ b/crates/sedgerun/src/admin/cluster.rs
@@ -35,7 +35,7 @@
                 return Err(refused(format!("Idempotency-Key is 1 to {MAX_KEY} bytes")));
             }
             new_change(key, expected(request).map_err(refused)?, command)
-                .map_err(|what| error(StatusCode::INTERNAL_SERVER_ERROR, what))
+                .map_err(|what| error(StatusCode::INTERNAL_SERVER_ERROR, what.to_string()))
         });
         let asked = match asked {
             Ok(asked) => asked,
--- a/crates/sedgerun/src/command.rs
+++ b/crates/sedgerun/src/command.rs
@@ -8,7 +8,7 @@
 use clap::{Args, CommandFactory, Parser, Subcommand, ValueEnum};
 use sedgerun_cluster::{ClusterHandle, client, force_recovery::force_recovery};
 use sedgerun_config::{Faults, operator};
-use sedgerun_replication::state::Command as FleetCommand;
+use sedgerun_replication::state::Command as StateCommand;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
@@ -51,7 +51,7 @@
     /// Ask the heads of the fleet, or begin it
     Fleet {
         #[command(subcommand)]
-        ask: Ask,
+        command: FleetCommand,
     },
     /// Print completions for a shell
     Completions {
@@ -61,7 +61,7 @@
 }
 
 #[derive(Subcommand)]
-enum Ask {
+enum FleetCommand {
     /// How each voter stands
     Status {
         /// As JSON
@@ -141,8 +141,8 @@
             };
             serve(sources(files), &log, form)
         }
-        Some(Command::Check { convert }) => said(check(files, convert)),
-        Some(Command::Fleet { ask }) => said(fleet(files, &ask)),
+        Some(Command::Check { convert }) => print_result(check(files, convert)),
+        Some(Command::Fleet { command }) => print_result(fleet(files, &command)),
         Some(Command::Completions { shell }) => {
             clap_complete::generate(shell, &mut Cli::command(), "sedgerun", &mut std::io::stdout());
             ExitCode::SUCCESS
@@ -150,11 +150,11 @@
     }
 }
 
-/// Prints what came out, or all that is wrong.
-fn said(said: Result<String, Faults>) -> ExitCode {
-    match said {
-        Ok(said) => {
-            print!("{said}");
+/// Prints the output of a command, or all faults.
+fn print_result(result: Result<String, Faults>) -> ExitCode {
+    match result {
+        Ok(output) => {
+            print!("{output}");
             ExitCode::SUCCESS
         }
         Err(faults) => {
@@ -164,26 +164,35 @@
     }
 }
 
-fn fleet(files: Files, ask: &Ask) -> Result<String, Faults> {
+/// Carries out `sedgerun fleet ...`.
+fn fleet(files: Files, command: &FleetCommand) -> Result<String, Faults> {
     let config = sources(files)?.read()?;
     let missing = || Faults::one("fleet", "the operator's file has no (fleet ...)", None);
     let settings = config.operator.fleet.as_ref().ok_or_else(missing)?;
-    let (name, by) = (config.name.as_str(), |command| client::make(settings, &config.name, command));
-    let settled =
-        |version: Result<u64, String>| version.map(|version| format!("settled at version {version}\n"));
-    let asked = match ask {
-        Ask::Status { json } => client::status(settings, name, *json),
-        Ask::Begin => client::begin(settings, name),
-        Ask::Voters { number } => settled(by(FleetCommand::SetVoters(*number))),
-        Ask::LostAfter { milliseconds } => settled(by(FleetCommand::SetDeadAfter(*milliseconds))),
-        Ask::Add { head } => settled(by(FleetCommand::AllowVoter { head: head.clone(), allowed: true })),
-        Ask::Remove { head } => settled(by(FleetCommand::AllowVoter { head: head.clone(), allowed: false })),
-        Ask::Replace { head } => settled(client::replace(settings, name, head)),
-        Ask::Backup { file } => client::backup(settings, name, file),
-        Ask::Restore { file } => client::restore(settings, name, file),
-        Ask::Recover { lose_changes_after } => force_recovery(settings, name, *lose_changes_after),
+    let name = config.name.as_str();
+    let committed = |version: u64| format!("settled at version {version}\n");
+    let change = |command| client::make(settings, name, command).map(committed);
+    let allow = |head: &String, allowed| change(StateCommand::AllowVoter { head: head.clone(), allowed });
+    let result = match command {
+        FleetCommand::Status { json } => client::status(settings, name, *json),
+        FleetCommand::Begin => client::begin(settings, name),
+        FleetCommand::Voters { number } => change(StateCommand::SetVoters(*number)),
+        FleetCommand::LostAfter { milliseconds } => change(StateCommand::SetDeadAfter(*milliseconds)),
+        FleetCommand::Add { head } => allow(head, true),
+        FleetCommand::Remove { head } => allow(head, false),
+        FleetCommand::Replace { head } => client::replace(settings, name, head).map(committed),
+        FleetCommand::Backup { file } => client::backup(settings, name, file),
+        FleetCommand::Restore { file } => client::restore(settings, name, file),
+        FleetCommand::Recover { lose_changes_after } => {
+            let recovered = force_recovery(settings, name, *lose_changes_after);
+            return recovered.map_err(|error| fleet_fault(&error));
+        }
     };
-    asked.map_err(|what| Faults::one("fleet", format!("fleet: {what}"), None))
+    result.map_err(|error| fleet_fault(&error))
+}
+
+fn fleet_fault(error: &dyn std::error::Error) -> Faults {
+    Faults::one("fleet", format!("fleet: {error}"), None)
 }
 
 /// Runs one head from start to exit; what is wrong with its settings is logged.
@@ -220,7 +229,7 @@
     let joined =
         config.operator.fleet.as_ref().map(|fleet| ClusterHandle::start(fleet, &config.name)).transpose();
     // A store that cannot be trusted is for the operator to look at: another start would not mend it.
-    let fleet = joined.map_err(|what| (FAULTY, Faults::one("fleet.dir", what, None)))?;
+    let fleet = joined.map_err(|error| (FAULTY, Faults::one("fleet.dir", error.to_string(), None)))?;
     Head::new(config, sources, fleet).run(signals).await.map_err(plain)
 }
 
--- a/crates/sedgerun/tests/frozen_voter.rs
+++ b/crates/sedgerun/tests/frozen_voter.rs
@@ -12,7 +12,7 @@
 use harness::{Harness, call, export, exports, settle};
 use recorded::{Section, assert_sections, hex};
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
-use sedgerun_cluster::disk::{self, Held, Identity};
+use sedgerun_cluster::disk::{self, Identity, OpenedStore};
 use sedgerun_replication::record::{self, RecordType};
 use sedgerun_replication::state::{ChangeOutcome, ReplicatedState};
 use serde_json::Value;
@@ -88,10 +88,10 @@
 }
 
 /// What the program reads from a folder, without a new incarnation.
-fn held(folder: &Path) -> Held {
-    let (database, held) = disk::database(folder).expect("a store");
+fn opened(folder: &Path) -> OpenedStore {
+    let (database, opened) = disk::open_database(folder).expect("a store");
     drop(database);
-    held
+    opened
 }
 
 /// Waits until the writer of a store has let go of its file.
@@ -104,19 +104,19 @@
 }
 
 /// What was read, sealed again under the names of the records.
-fn resealed(held: &Held) -> BTreeMap<&'static str, Vec<u8>> {
-    let (snapshot, state) = held.snapshot.as_ref().expect("a snapshot");
-    let committed = held.committed.expect("a settled entry");
-    let purged = held.purged.expect("an entry that the snapshot replaced");
+fn resealed(opened: &OpenedStore) -> BTreeMap<&'static str, Vec<u8>> {
+    let (snapshot, state) = opened.snapshot.as_ref().expect("a snapshot");
+    let committed = opened.committed.expect("a settled entry");
+    let purged = opened.purged.expect("an entry that the snapshot replaced");
     let sealed = [
         ("committed", record::seal(RecordType::Position, &committed)),
-        ("identity", record::seal(RecordType::Identity, &held.identity)),
-        ("memory", record::seal(RecordType::Watermarks, &held.watermarks)),
+        ("identity", record::seal(RecordType::Identity, &opened.identity)),
+        ("memory", record::seal(RecordType::Watermarks, &opened.watermarks)),
         ("purged", record::seal(RecordType::Position, &purged)),
         ("snapshot", record::seal(RecordType::SnapshotHead, snapshot)),
         ("state", record::seal(RecordType::Snapshot, state)),
-        ("view", record::seal(RecordType::View, &held.followed)),
-        ("vote", record::seal(RecordType::Vote, &held.vote.expect("a vote"))),
+        ("view", record::seal(RecordType::View, &opened.followed)),
+        ("vote", record::seal(RecordType::Vote, &opened.vote.expect("a vote"))),
     ];
     sealed.into_iter().map(|(name, record)| (name, record.expect("a record"))).collect()
 }
@@ -137,10 +137,10 @@
 #[test]
 fn a_recorded_store_is_read_whole_and_would_be_written_alike() {
     let folder = Folder::copied("read");
-    let held = held(&folder.0);
+    let opened = opened(&folder.0);
     let (mut lines, mut entries) = (Section::open(HELD, "meta"), Section::open(HELD, "log"));
-    resealed(&held).iter().for_each(|(name, bytes)| drop(lines.compare(name, bytes)));
-    for (index, entry) in &held.log {
+    resealed(&opened).iter().for_each(|(name, bytes)| drop(lines.compare(name, bytes)));
+    for (index, entry) in &opened.log {
         let sealed = record::seal(RecordType::Entry, entry).expect("a record");
         entries.compare(&index.to_string(), &sealed);
     }
@@ -151,27 +151,28 @@
 #[test]
 fn what_a_recorded_store_holds_fits_together() {
     let folder = Folder::copied("held");
-    let held = held(&folder.0);
-    let store = held.identity.store;
-    let (snapshot, state) = held.snapshot.as_ref().expect("a snapshot");
-    let vote = held.vote.expect("a vote");
+    let opened = opened(&folder.0);
+    let store = opened.identity.store;
+    let (snapshot, state) = opened.snapshot.as_ref().expect("a snapshot");
+    let vote = opened.vote.expect("a vote");
     assert_eq!(
-        (held.identity.incarnation, vote.leader_id().voted_for(), vote.committed),
+        (opened.identity.incarnation, vote.leader_id().voted_for(), vote.committed),
         (1, Some(store), true)
     );
-    assert!(held.identity.origin.is_some());
+    assert!(opened.identity.origin.is_some());
     let members = snapshot.last_membership.membership();
     assert_eq!(members.voter_ids().collect::<Vec<_>>(), [store]);
     assert_eq!(members.get_node(&store).expect("its own address").head, "n1");
-    let (first, last) = (held.log.keys().next().expect("a log"), held.log.keys().next_back().expect("a log"));
-    assert_eq!(held.purged.expect("an entry that the snapshot replaced").index + 1, *first);
+    let (first, last) =
+        (opened.log.keys().next().expect("a log"), opened.log.keys().next_back().expect("a log"));
+    assert_eq!(opened.purged.expect("an entry that the snapshot replaced").index + 1, *first);
     let covered = snapshot.last_log_id.expect("a position").index;
-    let settled = held.committed.expect("a settled entry").index;
+    let settled = opened.committed.expect("a settled entry").index;
     assert!(first <= &covered && covered < settled && settled <= *last, "{first} {covered} {settled} {last}");
     // What it held as a follower is older than what it has applied since.
-    assert!(held.followed.version > 0 && held.followed.bans.contains_key("s-7"));
+    assert!(opened.followed.version > 0 && opened.followed.bans.contains_key("s-7"));
     let mut state: ReplicatedState = record::open(RecordType::Snapshot, state).expect("a state");
-    for (_, entry) in held.log.range(covered + 1..) {
+    for (_, entry) in opened.log.range(covered + 1..) {
         if let openraft::EntryPayload::Normal(changes) = &entry.payload {
             for change in changes {
                 assert!(matches!(state.apply(change.clone()), ChangeOutcome::Done { .. }));
@@ -192,7 +193,7 @@
 #[test]
 fn a_recorded_store_begins_its_next_incarnation_and_keeps_all_else() {
     let folder = Folder::copied("opened");
-    let before = held(&folder.0).identity;
+    let before = opened(&folder.0).identity;
     let (disk, opened) = disk::open(&folder.0).expect("a store");
     let next = Identity { incarnation: before.incarnation + 1, ..before };
     assert_eq!(opened.identity, next);
@@ -214,7 +215,7 @@
 fn the_program_starts_on_a_recorded_folder_and_goes_on_where_it_was() {
     let mut harness = Harness::laid(1, 2);
     copy(&recorded_folder(), &harness.dirs[HEAD]);
-    let recorded = held(&Folder::copied("program").0);
+    let recorded = opened(&Folder::copied("program").0);
     harness.up(HEAD);
     harness.until("it leads", || (harness.own(HEAD)["role"] == "leader").then_some(()));
     let own = harness.own(HEAD);
--- a/crates/testbed/src/fleet/heads.rs
+++ b/crates/testbed/src/fleet/heads.rs
@@ -102,7 +102,7 @@
         let (address, port, syncs) = (self.places[head], self.net.port(head), Arc::clone(&self.syncs));
         let own = &mut self.heads[head];
         own.incoming = Some(self.net.up(head));
-        let (opened, old_name) = (own.disk.open(), own.old_name.take());
+        let (backend, old_name) = (own.disk.open(), own.old_name.take());
         async move {
             // A sync of 0.5 to 6 ms, and at times of 100.
             let sync = move || {
@@ -110,12 +110,14 @@
                 let long = if chance.below(200) == 0 { 100_000 } else { 0 };
                 Duration::from_micros(500 + chance.below(5500) + long)
             };
-            let (disk, mut held) = open_in_simulator(opened, sync)?;
+            let read = open_in_simulator(backend, sync).map_err(|error| error.to_string());
+            let (disk, mut opened) = read?;
             if let Some(store) = old_name {
-                held.identity.store = store;
+                opened.identity.store = store;
             }
             let head = format!("n{head}");
-            Node::start(NodeSetup { settings, head, address, disk, held, dial: port }).await
+            let setup = NodeSetup { settings, head, address, disk, opened, dial: port };
+            Node::start(setup).await.map_err(|error| error.to_string())
         }
     }
 
--- a/crates/testbed/src/fleet/mod.rs
+++ b/crates/testbed/src/fleet/mod.rs
@@ -242,7 +242,7 @@
         let beginning = tokio::task::spawn_local(async move {
             let asked = heads.borrow().asked(0);
             *done.borrow_mut() = Some(match asked {
-                Some(asked) => asked.begin().await,
+                Some(asked) => asked.begin().await.map_err(|error| error.to_string()),
                 None => Err("head 0 is not there".into()),
             });
         });
--- a/crates/testbed/src/scale/hollow.rs
+++ b/crates/testbed/src/scale/hollow.rs
@@ -109,10 +109,12 @@
         self.sampled_bytes.set(0);
         let listener = self.surroundings.network.listen().map_err(|error| error.to_string())?;
         let address = listener.local_addr().map_err(|error| error.to_string())?;
-        let (disk, held) = open_in_simulator(self.disk.open(), || SYNC_TIME)?;
+        let read = open_in_simulator(self.disk.open(), || SYNC_TIME);
+        let (disk, opened) = read.map_err(|error| error.to_string())?;
         let dial = Arc::new(self.surroundings.network.clone());
         let (settings, head) = (self.settings(address), self.name.clone());
-        let node = Node::start(NodeSetup { settings, head, address, disk, held, dial }).await?;
+        let node = Node::start(NodeSetup { settings, head, address, disk, opened, dial }).await;
+        let node = node.map_err(|error| error.to_string())?;
         let fleet = Rc::new(ClusterHandle::of(&node));
         let mut config = self.config()?;
         let known = config.known.take();
