--- a/crates/sedgerun/src/admin/cluster.rs
+++ b/crates/sedgerun/src/admin/cluster.rs
@@ -1,156 +1,203 @@
-//! The administration API where a fleet holds the tenants: changes are settled by the voters, and reads may ask
-//! for what was settled before.
+//! The API where a fleet holds the tenants: changes are committed by the voters, and reads may wait for what was
+//! committed before.
 
-use super::{Api, ApiResponse, error};
+use super::Api;
+use super::resource::Resource;
+use super::response::ApiResponse;
+use super::tenants::{no_such_path, or_error, parse_json};
 use actix_http::{HttpMessage, Method, Request, StatusCode};
 use sedgerun_cluster::{ClusterHandle, new_change};
 use sedgerun_replication::state::{ChangeOutcome, Command};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 
-/// The longest key that a caller may give a change, in bytes.
-const MAX_KEY: usize = 128;
+/// The longest idempotency key that a caller may give a change, in bytes.
+const MAX_IDEMPOTENCY_KEY: usize = 128;
 
 impl Api {
-    /// Answers a request; `version` is the version of the fleet's state at which the answer holds.
-    pub async fn by_fleet(
+    /// Responds from the replicated state.
+    pub(super) async fn respond_from_cluster(
         &self,
-        fleet: &ClusterHandle,
+        cluster: &ClusterHandle,
         request: &Request,
         body: &[u8],
-        version: &mut Option<u64>,
     ) -> ApiResponse {
-        let parts: Vec<&str> = request.path().trim_matches('/').split('/').collect();
-        let tenant = match (request.method(), parts.as_slice()) {
-            (
-                &Method::PUT | &Method::DELETE,
-                ["v1", "tenants", name] | ["v1", "tenants", name, "exports", _] | ["v1", "bans", name],
-            ) => *name,
-            _ => return self.read(fleet, request, body, version).await,
-        };
-        let asked = self.command(request.method(), &parts, body).and_then(|command| {
-            let refused = |what: String| error(StatusCode::BAD_REQUEST, what);
-            let key = header(request, "Idempotency-Key");
-            if key.is_some_and(|key| key.is_empty() || key.len() > MAX_KEY) {
-                return Err(refused(format!("Idempotency-Key is 1 to {MAX_KEY} bytes")));
+        let resource = Resource::of(request);
+        let is_change = matches!(*request.method(), Method::PUT | Method::DELETE);
+        match resource {
+            Resource::Tenant { .. } | Resource::Export { .. } | Resource::Ban { .. } if is_change => {
+                or_error(self.change(cluster, request, resource, body).await)
             }
-            new_change(key, expected(request).map_err(refused)?, command)
-                .map_err(|what| error(StatusCode::INTERNAL_SERVER_ERROR, what))
-        });
-        let asked = match asked {
-            Ok(asked) => asked,
-            Err(said) => return said,
+            _ => or_error(self.read(cluster, request, resource, body).await),
+        }
+    }
+
+    /// Has the voters commit a change.
+    async fn change(
+        &self,
+        cluster: &ClusterHandle,
+        request: &Request,
+        resource: Resource<'_>,
+        body: &[u8],
+    ) -> Result<ApiResponse, ApiResponse> {
+        let command = self.command(request.method(), resource, body)?;
+        let key = idempotency_key(request)?;
+        let change = new_change(key, expected_version(request)?, command)
+            .map_err(|what| ApiResponse::error(StatusCode::INTERNAL_SERVER_ERROR, what))?;
+        let result = cluster.change(change).await;
+        let version = cluster.version();
+        let outcome = result.map_err(|error| {
+            let what = format!("{}; it may still happen: repeat it with the same Idempotency-Key", error.0);
+            ApiResponse::error(StatusCode::SERVICE_UNAVAILABLE, what).at_version(version)
+        })?;
+        let version = match outcome {
+            ChangeOutcome::Done { version, .. } => version,
+            _ => version,
         };
-        let settled = fleet.change(asked).await;
-        *version = Some(fleet.version());
-        match settled {
-            Ok(ChangeOutcome::Done { version: done, fresh }) => {
-                *version = Some(done);
-                match *request.method() {
-                    Method::DELETE => (StatusCode::NO_CONTENT, Value::Null),
-                    _ if parts[1] == "bans" => {
-                        let status = if fresh { StatusCode::CREATED } else { StatusCode::OK };
-                        (status, json!({"brick": tenant, "version": done}))
-                    }
-                    _ => self.written(tenant, fresh),
-                }
-            }
-            Ok(ChangeOutcome::Missing(what)) => error(StatusCode::NOT_FOUND, what),
-            Ok(ChangeOutcome::Conflict(what)) => error(StatusCode::CONFLICT, what),
-            Ok(ChangeOutcome::Stale(stands)) => {
-                error(StatusCode::PRECONDITION_FAILED, format!("tenant {tenant} stands at version {stands}"))
+        Ok(self.change_response(request.method(), resource, outcome).at_version(version))
+    }
+
+    /// The response to a change of this outcome.
+    fn change_response(
+        &self,
+        method: &Method,
+        resource: Resource<'_>,
+        outcome: ChangeOutcome,
+    ) -> ApiResponse {
+        match outcome {
+            ChangeOutcome::Done { version, fresh } => self.committed(method, resource, version, fresh),
+            ChangeOutcome::Missing(what) => ApiResponse::not_found(what),
+            ChangeOutcome::Conflict(what) => ApiResponse::error(StatusCode::CONFLICT, what),
+            ChangeOutcome::Stale(version) => {
+                let what = format!("tenant {} stands at version {version}", changed_name(resource));
+                ApiResponse::error(StatusCode::PRECONDITION_FAILED, what)
             }
-            Ok(ChangeOutcome::Reused) => {
-                error(StatusCode::UNPROCESSABLE_ENTITY, "this Idempotency-Key was used for another change")
+            ChangeOutcome::Reused => {
+                let what = "this Idempotency-Key was used for another change";
+                ApiResponse::error(StatusCode::UNPROCESSABLE_ENTITY, what)
             }
-            Err(why) => {
-                let what = format!("{}; it may still happen: repeat it with the same Idempotency-Key", why.0);
-                error(StatusCode::SERVICE_UNAVAILABLE, what)
+        }
+    }
+
+    /// The response to a change that was committed at this version.
+    fn committed(&self, method: &Method, resource: Resource<'_>, version: u64, is_new: bool) -> ApiResponse {
+        match resource {
+            _ if method == Method::DELETE => ApiResponse::no_content(),
+            Resource::Ban { backend } => {
+                ApiResponse::new(ApiResponse::put_status(is_new), ban_json(backend, version))
             }
+            _ => self.put_response(changed_name(resource), is_new),
         }
     }
 
+    /// Reads, once this head has the state that the request asks for.
     async fn read(
         &self,
-        fleet: &ClusterHandle,
+        cluster: &ClusterHandle,
         request: &Request,
+        resource: Resource<'_>,
         body: &[u8],
-        version: &mut Option<u64>,
-    ) -> ApiResponse {
+    ) -> Result<ApiResponse, ApiResponse> {
         let waited = match (header(request, "Fleet-Read"), header(request, "Fleet-At-Least")) {
-            (Some("latest"), _) => fleet.latest().await,
+            (Some("latest"), _) => cluster.latest().await,
             (Some(other), _) => {
-                return error(
-                    StatusCode::BAD_REQUEST,
-                    format!("Fleet-Read is latest or left out, not {other}"),
-                );
+                let what = format!("Fleet-Read is latest or left out, not {other}");
+                return Err(ApiResponse::bad_request(what));
             }
-            (None, Some(least)) => match least.parse() {
-                Ok(least) => fleet.at_least(least).await,
-                Err(_) => return error(StatusCode::BAD_REQUEST, "Fleet-At-Least is not a version"),
-            },
-            (None, None) => Ok(fleet.version()),
-        };
-        *version = Some(fleet.version());
-        match waited {
-            Ok(_) if request.method() == Method::GET && request.path().trim_matches('/') == "v1/bans" => {
-                let bans = fleet.bans().into_iter();
-                let bans = bans.map(|(backend, version)| json!({"brick": backend, "version": version}));
-                (StatusCode::OK, json!({"bans": bans.collect::<Vec<Value>>()}))
+            (None, Some(version)) => {
+                let version = version.parse();
+                let version =
+                    version.map_err(|_| ApiResponse::bad_request("Fleet-At-Least is not a version"))?;
+                cluster.at_least(version).await
             }
-            Ok(_) => self.route(request, body),
-            Err(why) => error(StatusCode::SERVICE_UNAVAILABLE, why.0),
-        }
+            (None, None) => Ok(cluster.version()),
+        };
+        let version = cluster.version();
+        let response = match (waited, resource) {
+            (Err(error), _) => ApiResponse::error(StatusCode::SERVICE_UNAVAILABLE, error.0),
+            (Ok(_), Resource::BanList) if request.method() == Method::GET => ban_list(cluster),
+            (Ok(_), _) => self.respond_locally(request, body),
+        };
+        Ok(response.at_version(version))
     }
 
-    /// Reads what is to be done; exports are checked against this head's settings first.
-    fn command(&self, method: &Method, parts: &[&str], body: &[u8]) -> Result<Command, ApiResponse> {
-        let refused = |what: String| error(StatusCode::BAD_REQUEST, what);
-        let json = || serde_json::from_slice::<Value>(body).map_err(|_| refused("malformed JSON".into()));
-        let put = method == Method::PUT;
-        Ok(match *parts {
-            [_, "bans", backend] => Command::Ban { backend: backend.into(), banned: put },
-            [_, _, tenant, _, export] if put => {
-                let (fields, _) = self.export(tenant, Some(export), &json()?).map_err(refused)?;
-                Command::PutExport { tenant: tenant.into(), export: export.into(), fields }
+    /// The change that a request is for; its exports are checked against this head's settings first.
+    fn command(&self, method: &Method, resource: Resource<'_>, body: &[u8]) -> Result<Command, ApiResponse> {
+        let is_put = method == Method::PUT;
+        match resource {
+            Resource::Ban { backend } => Ok(Command::Ban { backend: backend.into(), banned: is_put }),
+            Resource::Export { tenant, export } if is_put => {
+                let (fields, _) = self
+                    .read_export(tenant, Some(export), &parse_json(body)?)
+                    .map_err(|error| ApiResponse::bad_request(error.to_string()))?;
+                Ok(Command::PutExport { tenant: tenant.into(), export: export.into(), fields })
             }
-            [_, _, tenant, _, export] => {
-                Command::DeleteExport { tenant: tenant.into(), export: export.into() }
+            Resource::Export { tenant, export } => {
+                Ok(Command::DeleteExport { tenant: tenant.into(), export: export.into() })
             }
-            [_, _, tenant] if put => {
-                let json = json()?;
-                let listed = json.get("exports").and_then(Value::as_array);
-                let listed = listed.ok_or_else(|| refused("exports is missing or is no list".into()))?;
-                let mut exports = BTreeMap::new();
-                for (i, export) in listed.iter().enumerate() {
-                    let read = self.export(tenant, None, export);
-                    let (fields, read) = read.map_err(|what| refused(format!("exports.{i}: {what}")))?;
-                    if exports.insert(read.name.clone(), fields).is_some() {
-                        let what = format!("there is an export {} already", read.name);
-                        return Err(error(StatusCode::CONFLICT, what));
-                    }
-                }
-                Command::PutTenant { tenant: tenant.into(), exports }
+            Resource::Tenant { tenant } if is_put => self.put_tenant_command(tenant, &parse_json(body)?),
+            Resource::Tenant { tenant } => Ok(Command::DeleteTenant { tenant: tenant.into() }),
+            _ => Err(no_such_path()),
+        }
+    }
+
+    fn put_tenant_command(&self, tenant: &str, json: &Value) -> Result<Command, ApiResponse> {
+        let mut exports = BTreeMap::new();
+        for read in self.read_exports(tenant, json)? {
+            let (fields, export) = read?;
+            if exports.insert(export.name.clone(), fields).is_some() {
+                let what = format!("there is an export {} already", export.name);
+                return Err(ApiResponse::error(StatusCode::CONFLICT, what));
             }
-            [_, _, tenant, ..] => Command::DeleteTenant { tenant: tenant.into() },
-            _ => return Err(error(StatusCode::NOT_FOUND, "no such path")),
-        })
+        }
+        Ok(Command::PutTenant { tenant: tenant.into(), exports })
+    }
+}
+
+/// The name of the tenant that a change is of, or of the backend.
+fn changed_name(resource: Resource<'_>) -> &str {
+    match resource {
+        Resource::Tenant { tenant } | Resource::Export { tenant, .. } => tenant,
+        Resource::Ban { backend } => backend,
+        _ => "",
     }
 }
 
+fn ban_list(cluster: &ClusterHandle) -> ApiResponse {
+    let bans = cluster.bans().into_iter().map(|(backend, version)| ban_json(&backend, version));
+    ApiResponse::ok(json!({"bans": bans.collect::<Vec<Value>>()}))
+}
+
+fn ban_json(backend: &str, version: u64) -> Value {
+    json!({"brick": backend, "version": version})
+}
+
 fn header<'a>(request: &'a Request, name: &str) -> Option<&'a str> {
     request.headers().get(name).map(|value| value.to_str().unwrap_or_default())
 }
 
-/// The version at which the tenant must stand: `If-Match: "7"`, or `If-None-Match: *` for none there.
-fn expected(request: &Request) -> Result<Option<u64>, String> {
+/// The key by which a repeated change is known as the same.
+fn idempotency_key(request: &Request) -> Result<Option<&str>, ApiResponse> {
+    let key = header(request, "Idempotency-Key");
+    if key.is_some_and(|key| key.is_empty() || key.len() > MAX_IDEMPOTENCY_KEY) {
+        let what = format!("Idempotency-Key is 1 to {MAX_IDEMPOTENCY_KEY} bytes");
+        return Err(ApiResponse::bad_request(what));
+    }
+    Ok(key)
+}
+
+/// The version at which the tenant must stand: `If-Match: "7"`, or `If-None-Match: *` for no such tenant.
+fn expected_version(request: &Request) -> Result<Option<u64>, ApiResponse> {
     match (header(request, "If-Match"), header(request, "If-None-Match")) {
         (None, None) => Ok(None),
         (None, Some("*")) => Ok(Some(0)),
         (Some(version), None) => match version.trim_matches('"').parse() {
             Ok(version) => Ok(Some(version)),
-            Err(_) => Err("If-Match is not a version".into()),
+            Err(_) => Err(ApiResponse::bad_request("If-Match is not a version")),
         },
-        _ => Err("If-Match with a version, or If-None-Match with *, and not both".into()),
+        _ => {
+            let what = "If-Match with a version, or If-None-Match with *, and not both";
+            Err(ApiResponse::bad_request(what))
+        }
     }
 }
--- a/crates/sedgerun/tests/admin.rs
+++ b/crates/sedgerun/tests/admin.rs
@@ -1,4 +1,4 @@
-//! The administration API, and what 9P clients see of its changes.
+//! The administration API of a head without a fleet, and what 9P clients see of its changes.
 
 mod standin;
 
@@ -19,10 +19,10 @@
 
 #[test]
 fn tenants_are_listed_added_changed_and_removed() {
-    let node = StandIn::start("s-1", 3, Duration::ZERO, Fault::None);
-    let discovery = Discovery::start(vec![node.entry("ready")]);
-    let conf = format!("{}\nadmin.listen=127.0.0.1:0\nadmin.token={TOKEN}", operator(&[&node]));
-    let program = Program::start(&config(discovery.address), Some(&conf));
+    let backend = StandIn::start("s-1", 3, Duration::ZERO, Fault::None);
+    let discovery = Discovery::start(vec![backend.entry("ready")]);
+    let operator_file = format!("{}\nadmin.listen=127.0.0.1:0\nadmin.token={TOKEN}", operator(&[&backend]));
+    let program = Program::start(&config(discovery.address), Some(&operator_file));
     thread::sleep(Duration::from_millis(100));
     let api = |request: &str, body: &str| call(&program, TOKEN, request, body);
 
@@ -33,20 +33,21 @@
     assert_eq!(listed["tenants"][0]["exports"].as_array().map(Vec::len), Some(2));
 
     let export = r#"{"volume":"b1","plan":"even","shard":3,"readClass":"read","writeClass":"write","largeClass":"bulk"}"#;
-    let (status, made) = api("PUT /v1/tenants/novak/exports/maps", export);
-    assert_eq!((status, &made["exports"][0]["plan"]), (201, &"even".into()));
+    let (status, created) = api("PUT /v1/tenants/novak/exports/maps", export);
+    assert_eq!((status, &created["exports"][0]["plan"]), (201, &"even".into()));
     let mut client = Client::attach(program.ninep.expect("9P"), "maps");
     assert!(matches!(client.walk(1, &["proof"]), Message::Rwalk { .. }));
 
-    let (status, said) = api("PUT /v1/tenants/novak/exports/maps", &export.replace("\"write\"", "\"read\""));
+    let (status, refusal) =
+        api("PUT /v1/tenants/novak/exports/maps", &export.replace("\"write\"", "\"read\""));
     assert_eq!(
-        (status, said["error"].as_str()),
+        (status, refusal["error"].as_str()),
         (400, Some("setting writeClass names a class that may run twice"))
     );
     assert_eq!(api("PUT /v1/tenants/novak/exports/maps", &export.replace("even", "odd")).0, 400);
     assert_eq!(api("PUT /v1/tenants/novak/exports/press", export).0, 409);
     assert_eq!(api("PUT /v1/tenants/novak", "{}").0, 400);
-    // Nothing of what was turned down has taken hold.
+    // Nothing of what was rejected has taken effect.
     assert!(matches!(client.walk(2, &["proof"]), Message::Rwalk { .. }));
 
     assert_eq!(api("PUT /v1/tenants/novak/exports/maps", &export.replace("b1", "b2")).0, 200);
