--- a/crates/sedgerun/tests/command.rs
+++ b/crates/sedgerun/tests/command.rs
@@ -1,4 +1,4 @@
-//! The command line: what `check` says of faulty settings, what it converts, and the form of the log.
+//! The command line: what `check` reports on faulty settings, what it converts, and the form of the log.
 
 mod standin;
 
@@ -8,7 +8,8 @@
 use std::process::{Command, Output};
 use std::time::Duration;
 
-fn place(name: &str, text: &str) -> PathBuf {
+/// Writes a file of this name and text.
+fn write_file(name: &str, text: &str) -> PathBuf {
     let folder = std::env::temp_dir().join(format!("sedgerun-command-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     let path = folder.join(name);
@@ -27,14 +28,14 @@
 }
 
 #[test]
-fn check_says_every_fault_with_key_line_and_column() {
+fn check_reports_every_fault_with_key_line_and_column() {
     let mut faulty = good();
     faulty["seed"] = json!("zz");
     faulty["settings"]["classes"][1]["goalTime"] = json!("soon");
     let text = serde_json::to_string_pretty(&faulty).expect("JSON");
     let line_of = |what: &str| text.lines().position(|line| line.contains(what)).expect("a line") + 1;
-    let config = place("faulty.json", &text);
-    let operator = place(
+    let config = write_file("faulty.json", &text);
+    let operator = write_file(
         "faulty.sexp",
         "(ninep\n  (listen \"there\"))\n(tenant a (export b (volume \"a\") (plan even)\n  (shard 3) (read-class read)\n  \
          (write-class read) (large-class bulk) (depth 3)))\n",
@@ -46,8 +47,8 @@
         "--operator",
         &operator.to_string_lossy(),
     ]);
-    let said = String::from_utf8(output.stderr).expect("text");
-    assert_eq!(output.status.code(), Some(2), "{said}");
+    let stderr = String::from_utf8(output.stderr).expect("text");
+    assert_eq!(output.status.code(), Some(2), "{stderr}");
     let expected = [
         format!("seed is not hexadecimal: zz ({}, line {}, column ", config.display(), line_of("\"zz\"")),
         format!(
@@ -60,26 +61,25 @@
         format!("exports.0.writeClass names a class that may run twice ({}, line 5", operator.display()),
     ];
     for expected in &expected {
-        assert!(said.lines().any(|line| line.contains(expected)), "{expected} is not in:\n{said}");
+        assert!(stderr.lines().any(|line| line.contains(expected)), "{expected} is not in:\n{stderr}");
     }
-    assert_eq!(said.lines().count(), expected.len(), "{said}");
+    assert_eq!(stderr.lines().count(), expected.len(), "{stderr}");
 }
 
 #[test]
-fn check_passes_what_is_shipped_and_converts_the_older_form() {
-    let classes = |config: &mut Value, names: [&str; 3]| {
-        (0..3).for_each(|i| config["settings"]["classes"][i]["name"] = json!(names[i]));
-    };
+fn check_accepts_what_is_shipped_and_converts_the_older_form() {
     let mut site = good();
-    classes(&mut site, ["citanje", "nova-datoteka", "izvoz"]);
+    for (index, name) in ["citanje", "nova-datoteka", "izvoz"].into_iter().enumerate() {
+        site["settings"]["classes"][index]["name"] = json!(name);
+    }
     site["settings"]["plans"][0]["name"] = json!("osnovni");
-    let config = place("site.json", &site.to_string());
+    let config = write_file("site.json", &site.to_string());
     let shipped = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/operator.sexp");
     let output = sedgerun(&["check", "--config", &config.to_string_lossy(), "--operator", shipped]);
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
 
     let node = StandIn::start("s-1", 3, Duration::ZERO, Fault::None);
-    let older = place("older.conf", &operator(&[&node]));
+    let older = write_file("older.conf", &operator(&[&node]));
     let output = sedgerun(&["check", "--convert", "--operator", &older.to_string_lossy()]);
     let forms = String::from_utf8(output.stdout).expect("text");
     // A head that starts with the converted file serves the same exports.
@@ -104,14 +104,14 @@
 }
 
 #[test]
-fn log_lines_are_json_where_that_is_asked_for_and_levels_hold() {
-    let config = place("json.json", &good().to_string().replace("127.0.0.1:0", "127.0.0.1:1"));
+fn log_lines_are_json_on_request_and_levels_apply() {
+    let config = write_file("json.json", &good().to_string().replace("127.0.0.1:0", "127.0.0.1:1"));
     let config = config.to_string_lossy();
     // Port 1 cannot be bound by a test that is no root, and nothing may listen twice: either way it ends.
-    let _taken = std::net::TcpListener::bind("127.0.0.1:1");
+    let _listener = std::net::TcpListener::bind("127.0.0.1:1");
     let output = sedgerun(&["--config", &config, "--log-format", "json"]);
-    let said = String::from_utf8(output.stderr).expect("text");
-    let line: Value = serde_json::from_str(said.lines().next().expect("a line")).expect("JSON");
+    let stderr = String::from_utf8(output.stderr).expect("text");
+    let line: Value = serde_json::from_str(stderr.lines().next().expect("a line")).expect("JSON");
     assert_eq!(line["level"], "ERROR");
     assert!(line["message"].as_str().expect("a text").contains("cannot bind"), "{line}");
     let output = sedgerun(&["--config", &config, "--log", "off"]);
@@ -120,7 +120,7 @@
     assert!(String::from_utf8_lossy(&output.stderr).contains("SEDGERUN_LOG"));
 }
 
-/// A head does not start on settings that it cannot keep, and says which key is at fault.
+/// A head does not start on settings that it cannot keep, and names the key at fault.
 #[test]
 fn missing_unknown_and_absurd_settings_are_refused_by_their_key() {
     let cases: [(&str, Value, &str); 14] = [
@@ -139,18 +139,18 @@
         ("/limits/sockets", json!(3), "limits.sockets"),
         ("/limits/memory_mb", json!("much"), "limits.memory_mb"),
     ];
-    let mut passed = Vec::new();
+    let mut accepted = Vec::new();
     for (pointer, value, key) in cases {
         let mut faulty = good();
         *faulty.pointer_mut(pointer).expect("a key") = value.clone();
-        let config = place(&format!("{}.json", pointer.replace('/', "-")), &faulty.to_string());
+        let config = write_file(&format!("{}.json", pointer.replace('/', "-")), &faulty.to_string());
         let output = sedgerun(&["check", "--config", &config.to_string_lossy()]);
-        let said = String::from_utf8_lossy(&output.stderr).into_owned();
+        let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
         if output.status.success() {
-            passed.push(format!("{pointer} {value}"));
+            accepted.push(format!("{pointer} {value}"));
             continue;
         }
-        assert!(said.contains(key), "{pointer} {value}: {key} is not named in:\n{said}");
+        assert!(stderr.contains(key), "{pointer} {value}: {key} is not named in:\n{stderr}");
     }
-    assert!(passed.is_empty(), "{passed:?}");
+    assert!(accepted.is_empty(), "{accepted:?}");
 }
