--- a/crates/sedgerun/src/discovery/timing.rs
+++ b/crates/sedgerun/src/discovery/timing.rs
@@ -16,7 +16,7 @@
 /// The least part of [`MAX_WAIT`] that a poll waits. Guards against a stampede: the polls of all heads are answered
 /// at once by a change, and would end, or time out, at once ever after.
 const MIN_WAIT_FRACTION: f64 = 0.65;
-/// Time past its wait after which a poll counts as timed out. Discovery drops waiting polls for up to a second.
+/// Time past its wait after which a poll counts as timed out. Discovery drops polls that have queued there for a second.
 pub(super) const TIMEOUT_MARGIN: Duration = Duration::from_millis(1100);
 /// The shortest wait for an agent, where the settings give no drain grace period to derive it from.
 const MIN_AGENT_WAIT: Duration = Duration::from_millis(100);
--- a/crates/sedgerun/src/logging/rate_limit.rs
+++ b/crates/sedgerun/src/logging/rate_limit.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 use tracing::callsite::Identifier;
 
-/// The most lines of one place in a [`PERIOD`]: far more than a head in order writes, few enough to read.
+/// The most lines that one place may write in a [`PERIOD`]; the rest is counted.
 pub const MAX_LINES: u32 = 50;
 /// The period in which lines are counted. The first line behind its end begins the next one.
 pub const PERIOD: Duration = Duration::from_secs(1);
