--- a/crates/sedgerun/tests/clients.rs
+++ b/crates/sedgerun/tests/clients.rs
@@ -9,14 +9,14 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-fn one(work: Duration, sockets: u64) -> (StandIn, Program) {
-    let node = StandIn::start("s-1", 3, work, Fault::None);
-    let discovery = Discovery::start(vec![node.entry("ready")]);
+fn start(work: Duration, sockets: u64) -> (StandIn, Program) {
+    let backend = StandIn::start("s-1", 3, work, Fault::None);
+    let discovery = Discovery::start(vec![backend.entry("ready")]);
     let mut config = config(discovery.address);
     *config.pointer_mut("/limits/sockets").expect("a key") = json!(sockets);
     let program = Program::start(&config, None);
     thread::sleep(Duration::from_millis(100));
-    (node, program)
+    (backend, program)
 }
 
 fn connect(program: &Program, sent: &str) -> TcpStream {
@@ -27,7 +27,7 @@
 }
 
 /// All that a client is sent until its connection is closed, and how long that took.
-fn heard(mut stream: TcpStream) -> (String, Duration) {
+fn read_until_closed(mut stream: TcpStream) -> (String, Duration) {
     let begun = Instant::now();
     let mut text = Vec::new();
     // A reset is a close, too.
@@ -38,14 +38,14 @@
 }
 
 #[test]
-fn what_never_comes_whole_gets_an_error_or_a_close_within_three_seconds() {
-    let (node, program) = one(Duration::ZERO, 1024);
-    let whole = write_request("a0", 1000);
-    let chunked = whole.replace("Content-Length: 4", "Transfer-Encoding: chunked");
+fn an_incomplete_request_gets_an_error_or_a_close_within_three_seconds() {
+    let (backend, program) = start(Duration::ZERO, 1024);
+    let complete = write_request("a0", 1000);
+    let chunked = complete.replace("Content-Length: 4", "Transfer-Encoding: chunked");
     let cases = [
         String::new(),
-        whole[..60].to_owned(),
-        whole.replace("Content-Length: 4", "Content-Length: 400"),
+        complete[..60].to_owned(),
+        complete.replace("Content-Length: 4", "Content-Length: 400"),
         chunked.replace("\r\n\r\nbody", "\r\n\r\n4\r\nbo"),
     ];
     let streams: Vec<TcpStream> = cases.iter().map(|sent| connect(&program, sent)).collect();
@@ -53,48 +53,49 @@
     let mut second = connect(&program, &get("a0", 1000));
     let mut reader = BufReader::new(second.try_clone().expect("a clone"));
     read_http(&mut reader).expect("an answer");
-    second.write_all(&whole.as_bytes()[..60]).expect("sent");
-    let waiting: Vec<_> = streams.into_iter().map(|stream| thread::spawn(move || heard(stream))).collect();
+    second.write_all(&complete.as_bytes()[..60]).expect("sent");
+    let waiting: Vec<_> =
+        streams.into_iter().map(|stream| thread::spawn(move || read_until_closed(stream))).collect();
     for (waiting, case) in waiting.into_iter().zip(&cases) {
         let (text, took) = waiting.join().expect("a client");
         assert!(took < Duration::from_secs(3), "{case:?} took {took:?}");
         assert!(text.is_empty() || text.starts_with("HTTP/1.1 4"), "{case:?} got {text:?}");
     }
-    assert!(heard(second).1 < Duration::from_secs(3));
-    assert_eq!(node.runs("PUT"), 0);
+    assert!(read_until_closed(second).1 < Duration::from_secs(3));
+    assert_eq!(backend.runs("PUT"), 0);
 }
 
 #[test]
-fn a_body_past_the_limit_is_turned_away_by_its_length() {
-    let (node, program) = one(Duration::ZERO, 1024);
+fn a_body_over_the_limit_is_rejected_by_its_length() {
+    let (backend, program) = start(Duration::ZERO, 1024);
     let huge = write_request("a0", 1000).replace("Content-Length: 4", "Content-Length: 62914560");
-    let (text, took) = heard(connect(&program, &huge));
+    let (text, took) = read_until_closed(connect(&program, &huge));
     assert!(text.starts_with("HTTP/1.1 413") && took < Duration::from_secs(1), "{text} after {took:?}");
     // One that tells no length is cut off at the limit.
     let head = write_request("a0", 1000).replace("Content-Length: 4", "Transfer-Encoding: chunked");
     let mut stream = connect(&program, &head.replace("\r\n\r\nbody", "\r\n\r\n"));
     let chunk = [&b"10000\r\n"[..], &[b'x'; 65_536], b"\r\n"].concat();
     while stream.write_all(&chunk).is_ok() {}
-    assert_eq!(node.runs("PUT"), 0);
+    assert_eq!(backend.runs("PUT"), 0);
 }
 
 #[test]
-fn an_id_that_is_open_or_was_a_moment_ago_is_not_passed_on_again() {
-    let (node, program) = one(Duration::from_millis(200), 1024);
+fn a_request_id_that_is_open_or_was_a_moment_ago_is_not_forwarded_again() {
+    let (backend, program) = start(Duration::from_millis(200), 1024);
     let request = write_request("a0", 1000);
     let first = connect(&program, &request);
     thread::sleep(Duration::from_millis(50));
     assert!(program.ask(&request).0.starts_with("HTTP/1.1 409"));
     // A client that leaves does not free the id: its attempt is still out.
-    let gone = write_request("a0", 1000);
-    drop(connect(&program, &gone));
+    let abandoned = write_request("a0", 1000);
+    drop(connect(&program, &abandoned));
     thread::sleep(Duration::from_millis(50));
-    assert!(program.ask(&gone).0.starts_with("HTTP/1.1 409"));
+    assert!(program.ask(&abandoned).0.starts_with("HTTP/1.1 409"));
     let mut answer = String::new();
     BufReader::new(first).read_line_of(&mut answer);
     assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
     assert!(program.ask(&request).0.starts_with("HTTP/1.1 409"));
-    assert!(node.runs("PUT") <= 2);
+    assert!(backend.runs("PUT") <= 2);
 }
 
 trait ReadLine {
@@ -109,17 +110,17 @@
 
 #[test]
 fn requests_sent_ahead_of_an_answer_end_their_connection() {
-    let (node, program) = one(Duration::from_millis(50), 1024);
+    let (backend, program) = start(Duration::from_millis(50), 1024);
     let many: String = (0..200).map(|_| get("a0", 1000)).collect();
-    let (text, took) = heard(connect(&program, &many));
+    let (text, took) = read_until_closed(connect(&program, &many));
     assert!(took < Duration::from_secs(3), "{took:?}");
     assert!(text.contains("HTTP/1.1 400") && text.matches("HTTP/1.1").count() == 2, "{text}");
-    assert_eq!(node.runs("GET"), 1);
+    assert_eq!(backend.runs("GET"), 1);
 }
 
 #[test]
-fn a_crowd_that_says_nothing_does_not_shut_out_others() {
-    let (_node, program) = one(Duration::ZERO, 128);
+fn many_silent_clients_do_not_shut_out_others() {
+    let (_backend, program) = start(Duration::ZERO, 128);
     // Three times as many as the program may hold at all.
     let crowd: Vec<TcpStream> =
         (0..400).map(|_| TcpStream::connect(program.http).expect("a connection")).collect();
@@ -133,8 +134,8 @@
 }
 
 #[test]
-fn clients_that_ask_once_and_stay_are_closed_where_connections_are_short() {
-    let (_node, program) = one(Duration::ZERO, 96);
+fn idle_clients_are_closed_where_connections_are_short() {
+    let (_backend, program) = start(Duration::ZERO, 96);
     let stay: Vec<TcpStream> = (0..40)
         .map(|_| {
             let stream = connect(&program, &get("a0", 1000));
@@ -153,17 +154,17 @@
 }
 
 #[test]
-fn a_large_body_sent_slowly_in_small_pieces_is_passed_on_whole() {
-    let (node, program) = one(Duration::ZERO, 1024);
+fn a_large_body_sent_slowly_in_small_parts_is_forwarded_complete() {
+    let (backend, program) = start(Duration::ZERO, 1024);
     let size = 300_000;
     let head = write_request("a0", 20_000).replace("Content-Length: 4", &format!("Content-Length: {size}"));
     let mut stream = connect(&program, head.trim_end_matches("body"));
-    // 3 s in all, beyond the 2.2 s that a whole request of 64 KiB has, and no piece later than 2 s.
+    // 3 s in all, beyond the 2.2 s that a complete request of 64 KiB has, and no part later than 2 s.
     for _ in 0..30 {
         stream.write_all(&[b'x'; 10_000]).expect("sent");
         thread::sleep(Duration::from_millis(100));
     }
     let (lines, _) = standin::read_http(&mut std::io::BufReader::new(stream)).expect("an answer");
     assert!(lines[0].starts_with("HTTP/1.1 200"), "{lines:?}");
-    assert_eq!(node.runs("PUT"), 1);
+    assert_eq!(backend.runs("PUT"), 1);
 }
--- a/crates/sedgerun/tests/ninep.rs
+++ b/crates/sedgerun/tests/ninep.rs
@@ -1,23 +1,22 @@
-//! The 9P front and back, against stand-ins on loopback.
+//! The 9P front end and the attempts behind it, against stand-ins on loopback.
 
 mod standin;
 
 use sedgerun_protocol_9p::*;
-use standin::{Client, Discovery, Fault, Program, StandIn, config, get, operator, receive};
+use standin::{Client, Discovery, Fault, Program, StandIn, config, operator, receive};
 use std::io::{Read, Write};
 use std::net::TcpStream;
-use std::sync::atomic::{AtomicU64, Ordering};
 use std::thread;
 use std::time::{Duration, Instant};
 
 const NO_WORK: Duration = Duration::ZERO;
 
-fn one(fault: Fault) -> (StandIn, Program) {
-    let node = StandIn::start("s-1", 3, NO_WORK, fault);
-    let discovery = Discovery::start(vec![node.entry("ready")]);
-    let program = Program::start(&config(discovery.address), Some(&operator(&[&node])));
+fn start(fault: Fault) -> (StandIn, Program) {
+    let backend = StandIn::start("s-1", 3, NO_WORK, fault);
+    let discovery = Discovery::start(vec![backend.entry("ready")]);
+    let program = Program::start(&config(discovery.address), Some(&operator(&[&backend])));
     thread::sleep(Duration::from_millis(100));
-    (node, program)
+    (backend, program)
 }
 
 fn ename(reply: Message) -> String {
@@ -28,8 +27,8 @@
 }
 
 #[test]
-fn a_whole_path_is_served() {
-    let (node, program) = one(Fault::None);
+fn files_are_created_written_read_renamed_and_removed() {
+    let (backend, program) = start(Fault::None);
     let mut client = Client::attach(program.ninep.expect("9P"), "press");
     assert!(matches!(client.walk(1, &[]), Message::Rwalk { .. }));
     let create = Message::Tcreate { fid: 1, name: "new".into(), perm: 0o444, mode: MODE_WRITE };
@@ -37,8 +36,8 @@
     let write = |offset, data: &'static [u8]| Message::Twrite { fid: 1, offset, data: data.into() };
     assert_eq!(client.call(write(0, b"print ")), Message::Rwrite { count: 6 });
     assert_eq!(client.call(write(6, b"this")), Message::Rwrite { count: 4 });
-    // The fid that the create left at the box has served both writes.
-    assert_eq!(node.runs("Topen"), 0);
+    // The fid that the create left at the backend has served both writes.
+    assert_eq!(backend.runs("Topen"), 0);
     assert_eq!(client.call(Message::Tclunk { fid: 1 }), Message::Rclunk);
     assert!(matches!(client.walk(2, &["new"]), Message::Rwalk { .. }));
     assert!(matches!(client.open(2, 0), Message::Ropen { .. }));
@@ -53,23 +52,23 @@
 
 #[test]
 fn a_write_whose_reply_is_lost_runs_once_and_fails_without_a_promise() {
-    let (node, program) = one(Fault::LoseWrites);
+    let (backend, program) = start(Fault::LoseWrites);
     let mut client = Client::attach(program.ninep.expect("9P"), "press");
     client.walk(1, &[]);
     let create = Message::Tcreate { fid: 1, name: "new".into(), perm: 0o644, mode: MODE_WRITE };
     assert_eq!(ename(client.call(create)), "failed: it may have run");
     thread::sleep(Duration::from_millis(1300));
-    assert_eq!(node.runs("Tcreate"), 1);
+    assert_eq!(backend.runs("Tcreate"), 1);
     client.walk(2, &["new"]);
     assert!(matches!(client.open(2, MODE_WRITE), Message::Ropen { .. }));
     let write = Message::Twrite { fid: 2, offset: 0, data: b"ink"[..].into() };
     assert_eq!(ename(client.call(write)), "failed: it may have run");
     thread::sleep(Duration::from_millis(1300));
-    assert_eq!(node.runs("Twrite"), 1);
+    assert_eq!(backend.runs("Twrite"), 1);
 }
 
 #[test]
-fn a_deep_walk_goes_on_at_the_replacement_while_its_box_drains() {
+fn a_deep_walk_continues_at_the_replacement_while_its_backend_drains() {
     let old = StandIn::start("s-1", 3, NO_WORK, Fault::None);
     let new = StandIn::start("s-2", 3, NO_WORK, Fault::None);
     let discovery = Discovery::start(vec![old.entry("ready")]);
@@ -91,15 +90,15 @@
         fid += 1;
     }
     assert!(new.runs("Twalk") > 0);
-    let told = old.last_ms();
+    let last_request_ms = old.last_ms();
     thread::sleep(Duration::from_millis(300));
     client.call(Message::Tstat { fid });
-    assert_eq!(old.last_ms(), told, "a draining box got something new");
+    assert_eq!(old.last_ms(), last_request_ms, "a draining box got something new");
 }
 
 #[test]
-fn a_request_that_no_box_can_take_is_refused_with_when_to_come_back() {
-    let (_node, program) = one(Fault::None);
+fn a_request_that_no_backend_can_take_is_rejected_with_a_retry_time() {
+    let (_backend, program) = start(Fault::None);
     let mut client = Client::attach(program.ninep.expect("9P"), "press");
     drop(client.walk(1, &["proof"]));
     let lonely = StandIn::start("s-9", 4, NO_WORK, Fault::None);
@@ -117,15 +116,15 @@
 }
 
 #[test]
-fn an_operation_ends_before_its_deadline_and_the_box_is_told_to_flush_it() {
-    let (node, program) = one(Fault::SilentReads);
+fn a_flushed_operation_ends_before_its_deadline_and_is_flushed_at_the_backend() {
+    let (backend, program) = start(Fault::SilentReads);
     let mut client = Client::attach(program.ninep.expect("9P"), "press");
     client.walk(1, &["proof"]);
     client.open(1, 0);
     let begun = Instant::now();
     client.send(1, &Message::Tread { fid: 1, offset: 0, count: 10 });
-    // Called off before it is sent, it would never go to the box.
-    while node.runs("Tread") == 0 {
+    // Cancelled before it is sent, it would never go to the backend.
+    while backend.runs("Tread") == 0 {
         assert!(begun.elapsed() < Duration::from_millis(500), "it is not sent");
         thread::sleep(Duration::from_millis(1));
     }
@@ -137,22 +136,22 @@
     assert!(begun.elapsed() < Duration::from_millis(1000));
     assert_eq!(receive(&mut client.stream), Some((2, Message::Rflush)));
     thread::sleep(Duration::from_millis(200));
-    assert_eq!((node.runs("Tread"), node.runs("Tflush")), (1, 1));
+    assert_eq!((backend.runs("Tread"), backend.runs("Tflush")), (1, 1));
 }
 
 #[test]
-fn a_read_whose_connection_breaks_is_read_again() {
-    let (node, program) = one(Fault::ResetOnce);
+fn a_read_whose_connection_breaks_is_retried() {
+    let (backend, program) = start(Fault::ResetOnce);
     let mut client = Client::attach(program.ninep.expect("9P"), "press");
     client.walk(1, &["proof"]);
     client.open(1, 0);
     assert_eq!(client.read(1), Message::Rread { data: b"a print proof"[..].into() });
-    assert_eq!(node.runs("Tread"), 1);
+    assert_eq!(backend.runs("Tread"), 1);
 }
 
 #[test]
 fn broken_messages_bring_an_error_or_end_the_connection() {
-    let (_node, program) = one(Fault::None);
+    let (_backend, program) = start(Fault::None);
     let address = program.ninep.expect("9P");
     let mut client = Client::attach(address, "press");
     assert_eq!(ename(client.read(7)), "unknown fid");
@@ -176,7 +175,7 @@
 /// Plays `tests/recorded/ninep.txt`: bytes to the program after `>`, bytes from it after `<`.
 #[test]
 fn recorded_exchanges_come_out_as_recorded() {
-    let (_node, program) = one(Fault::None);
+    let (_backend, program) = start(Fault::None);
     let mut stream = TcpStream::connect(program.ninep.expect("9P")).expect("a connection");
     stream.set_read_timeout(Some(Duration::from_secs(20))).expect("a timeout");
     let mut played = 0;
@@ -200,8 +199,8 @@
 }
 
 #[test]
-fn a_new_version_takes_the_old_sessions_tags_and_fids_back() {
-    let (_node, program) = one(Fault::SilentReads);
+fn a_new_version_drops_the_old_sessions_tags_and_fids() {
+    let (_backend, program) = start(Fault::SilentReads);
     let mut client = Client::attach(program.ninep.expect("9P"), "press");
     client.walk(1, &["proof"]);
     client.open(1, 0);
@@ -216,68 +215,10 @@
 }
 
 #[test]
-fn volumes_share_a_box_evenly_across_9p_and_http() {
-    let node = StandIn::start("s-1", 3, Duration::from_millis(8), Fault::None);
-    let discovery = Discovery::start(vec![node.entry("ready")]);
-    let program = Program::start(&config(discovery.address), Some(&operator(&[&node])));
-    thread::sleep(Duration::from_millis(100));
-    let (http, ninep) = (program.http, program.ninep.expect("9P"));
-    // Counted once the loops have settled, over many requests of each volume.
-    let begin = Instant::now() + Duration::from_secs(4);
-    let end = begin + Duration::from_secs(12);
-    let served = [AtomicU64::new(0), AtomicU64::new(0)];
-    let count = |volume: usize, ok: bool| match ok {
-        true if Instant::now() > begin => drop(served[volume].fetch_add(1, Ordering::SeqCst)),
-        true => {}
-        false => thread::sleep(Duration::from_millis(10)),
-    };
-    let count = &count;
-    // Each volume comes over both wires, the first mostly over 9P and the other mostly over HTTP.
-    let exports = [(0, "press", 12, 4), (1, "proofs", 4, 12)];
-    let mut clients = Vec::new();
-    for (volume, export, ninep_clients, _) in exports {
-        for _ in 0..ninep_clients {
-            let mut client = Client::attach(ninep, export);
-            client.walk(1, &["proof"]);
-            assert!(matches!(client.open(1, 0), Message::Ropen { .. }));
-            clients.push((volume, client));
-        }
-    }
-    thread::scope(|scope| {
-        for (volume, mut client) in clients {
-            scope.spawn(move || {
-                while Instant::now() < end {
-                    count(volume, matches!(client.read(1), Message::Rread { .. }));
-                }
-            });
-        }
-        for (volume, _, _, http_clients) in exports {
-            for _ in 0..http_clients {
-                scope.spawn(move || {
-                    let mut writer = TcpStream::connect(http).expect("a connection");
-                    let mut reader = std::io::BufReader::new(writer.try_clone().expect("a clone"));
-                    while Instant::now() < end {
-                        let request = get(&format!("a{volume}"), 1000);
-                        writer.write_all(request.as_bytes()).expect("sent");
-                        let (lines, _) = standin::read_http(&mut reader).expect("an answer");
-                        count(volume, lines[0].contains("200"));
-                    }
-                });
-            }
-        }
-    });
-    let [first, second] = served.map(|served| served.load(Ordering::SeqCst) as f64);
-    let share = first / (first + second);
-    eprintln!("served {first} and {second}");
-    assert!(first + second > 500.0, "served {first} and {second}");
-    assert!((share - 0.5).abs() < 0.025, "served {first} and {second}");
-}
-
-#[test]
-fn a_9p_client_that_says_nothing_or_half_of_it_is_closed_and_one_that_rests_is_not() {
-    let node = StandIn::start("s-1", 3, Duration::ZERO, Fault::None);
-    let discovery = Discovery::start(vec![node.entry("ready")]);
-    let program = Program::start(&config(discovery.address), Some(&operator(&[&node])));
+fn a_9p_client_that_sends_nothing_or_half_a_message_is_closed_and_an_idle_one_is_not() {
+    let backend = StandIn::start("s-1", 3, Duration::ZERO, Fault::None);
+    let discovery = Discovery::start(vec![backend.entry("ready")]);
+    let program = Program::start(&config(discovery.address), Some(&operator(&[&backend])));
     let address = program.ninep.expect("9P");
     let mut resting = Client::attach(address, "press");
     let silent = TcpStream::connect(address).expect("a connection");
