--- a/crates/sedgerun/src/backend/mod.rs
+++ b/crates/sedgerun/src/backend/mod.rs
@@ -1,21 +1,31 @@
-//! The client side: makes attempts at nodes, each over the wire that its job came in.
+//! The client side of the program: makes attempts at backends, each over the protocol that its request came in.
+//!
+//! [`Backends`] owns the clients of both protocols, the backends' names and their addresses. Which backend an attempt
+//! goes to, and whether there is another, is decided elsewhere.
 
 pub mod answer;
+mod attempt_started;
+mod backend_names;
+mod complete_response_stream;
 pub mod http;
+mod memory_budget;
 pub mod ninep;
 pub mod pool;
+mod response_reader;
+
+pub use attempt_started::AttemptStarted;
+pub use backend_names::BackendNames;
 
 use crate::descriptors::Descriptors;
 use bytes::Bytes;
 use sedgerun_dispatch::AttemptResult;
 use sedgerun_policy::{BackendId, Micros};
 use sedgerun_protocol_9p::Message;
-use std::cell::{Cell, RefCell};
-use std::collections::{BTreeMap, HashMap};
+use std::cell::RefCell;
+use std::collections::BTreeMap;
 use std::net::SocketAddr;
-use std::rc::Rc;
 
-/// What a front hands through the dispatcher.
+/// A client's request, as a front end hands it through the dispatcher.
 #[derive(Debug)]
 pub enum BackendRequest {
     /// An HTTP request.
@@ -24,7 +34,7 @@
     Ninep(ninep::NinePBackendRequest),
 }
 
-/// What a node answered, in the wire of the job.
+/// A backend's response, in the protocol of the request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum BackendResponse {
     /// The body of a 200.
@@ -33,82 +43,11 @@
     Ninep(Message),
 }
 
-/// Whether an attempt has begun: the first byte of its request was given to a connection. What has not can still
-/// be called off, and has never run.
-#[derive(Clone, Debug, Default)]
-pub struct AttemptStarted(Rc<Cell<bool>>);
-
-tokio::task_local! {
-    /// The attempt that the running task makes.
-    static ATTEMPT: AttemptStarted;
-}
-
-impl AttemptStarted {
-    /// The attempt of this task begins now. A task without one, such as that of a list call, has nothing to note.
-    pub fn mark() {
-        let _ = ATTEMPT.try_with(|begun| begun.0.set(true));
-    }
-
-    /// Whether it has.
-    pub fn get(&self) -> bool {
-        self.0.get()
-    }
-
-    /// Makes this attempt.
-    pub async fn of<T>(self, attempt: impl Future<Output = T>) -> T {
-        ATTEMPT.scope(self, attempt).await
-    }
-}
-
-/// The names that deployments give their nodes, as the numbers that the decisions use.
-#[derive(Debug, Default)]
-pub struct BackendNames {
-    numbers: RefCell<HashMap<Rc<str>, BackendId>>,
-    names: RefCell<BTreeMap<BackendId, Rc<str>>>,
-    last: Cell<u64>,
-}
-
-impl BackendNames {
-    /// The number of a name; the same name has the same one until it is forgotten.
-    pub fn node(&self, name: &str) -> BackendId {
-        if let Some(node) = self.find(name) {
-            return node;
-        }
-        self.last.set(self.last.get() + 1);
-        let (node, name) = (BackendId(self.last.get()), Rc::<str>::from(name));
-        self.numbers.borrow_mut().insert(Rc::clone(&name), node);
-        self.names.borrow_mut().insert(node, name);
-        node
-    }
-
-    /// The number of a name that is in use; `None` for a name that nobody has.
-    pub fn find(&self, name: &str) -> Option<BackendId> {
-        self.numbers.borrow().get(name).copied()
-    }
-
-    /// The name of a number.
-    pub fn name(&self, node: BackendId) -> Option<String> {
-        self.names.borrow().get(&node).map(|name| name.to_string())
-    }
-
-    /// All numbers in use.
-    pub fn all(&self) -> Vec<BackendId> {
-        self.names.borrow().keys().copied().collect()
-    }
-
-    /// Forgets a number; its name, should it come back, gets a new one.
-    fn forget(&self, node: BackendId) {
-        if let Some(name) = self.names.borrow_mut().remove(&node) {
-            self.numbers.borrow_mut().remove(&name);
-        }
-    }
-}
-
-/// The backends of all wires.
+/// The backends of both protocols.
 pub struct Backends {
-    /// Numbers of nodes.
+    /// The numbers of backends.
     pub names: BackendNames,
-    /// HTTP addresses of nodes.
+    /// The HTTP addresses of backends.
     pub addresses: RefCell<BTreeMap<BackendId, SocketAddr>>,
     /// The HTTP client.
     pub http: http::HttpBackend,
@@ -118,7 +57,7 @@
 }
 
 impl Backends {
-    /// Backends that know no node yet.
+    /// The clients, with no backend known yet.
     pub fn new(http: http::HttpBackend, ninep: ninep::NinePBackend, descriptors: Descriptors) -> Backends {
         Backends { names: BackendNames::default(), addresses: RefCell::default(), http, ninep, descriptors }
     }
@@ -128,39 +67,40 @@
         &self.descriptors
     }
 
-    /// Takes a node's HTTP address, where it has one; idle connections to the one it had before are closed.
-    pub fn place(&self, node: BackendId, address: Option<SocketAddr>) {
-        let before = match address {
-            Some(address) => self.addresses.borrow_mut().insert(node, address),
-            None => self.addresses.borrow_mut().remove(&node),
+    /// Sets a backend's HTTP address, where it has one; idle connections to the one it had before are closed.
+    pub fn place(&self, backend: BackendId, address: Option<SocketAddr>) {
+        let previous = match address {
+            Some(address) => self.addresses.borrow_mut().insert(backend, address),
+            None => self.addresses.borrow_mut().remove(&backend),
         };
-        if let Some(before) = before.filter(|before| Some(*before) != address) {
-            self.http.forget(before);
+        if let Some(previous) = previous.filter(|previous| Some(*previous) != address) {
+            self.http.forget(previous);
         }
     }
 
-    /// Forgets a node that is no more. Its name, should it come back, gets a new number. Boxes that speak 9P
+    /// Forgets a backend that was removed. Its name, should it come back, gets a new number. Backends that speak 9P
     /// stand in the operator's file and are never forgotten.
-    pub fn forget(&self, node: BackendId) {
-        self.place(node, None);
-        self.names.forget(node);
+    pub fn forget(&self, backend: BackendId) {
+        self.place(backend, None);
+        self.names.forget(backend);
     }
 
-    /// Makes an attempt; `None` where the node cannot take this kind of job.
+    /// Makes an attempt, whose deadline is `time_left` from now; `None` where the backend cannot take this kind of
+    /// request.
     pub async fn attempt(
         &self,
-        node: BackendId,
-        left: Micros,
-        job: &BackendRequest,
+        backend: BackendId,
+        time_left: Micros,
+        request: &BackendRequest,
     ) -> Option<AttemptResult<BackendResponse>> {
-        match job {
-            BackendRequest::Http(job) => {
-                let address = self.addresses.borrow().get(&node).copied()?;
-                Some(self.http.attempt(address, left, job).await)
+        match request {
+            BackendRequest::Http(request) => {
+                let address = self.addresses.borrow().get(&backend).copied()?;
+                Some(self.http.attempt(address, time_left, request).await)
             }
-            BackendRequest::Ninep(job) => {
-                let address = self.ninep.addresses.borrow().get(&node).copied()?;
-                Some(self.ninep.attempt(node, address, job).await)
+            BackendRequest::Ninep(request) => {
+                let address = self.ninep.addresses.borrow().get(&backend).copied()?;
+                Some(self.ninep.attempt(backend, address, request).await)
             }
         }
     }
--- a/crates/sedgerun/src/backend/pool.rs
+++ b/crates/sedgerun/src/backend/pool.rs
@@ -1,35 +1,39 @@
-//! Clients of nodes in the order of their use, so that the one that rested longest can give its connections up.
+//! Clients of backends in the order of their use, so that the least recently used one can give its connections up.
+//!
+//! It does no I/O: a client closes its idle connections when it is dropped by who removed it here.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// A value for each address, with the order in which they were last used.
+/// A client for each address, with the order in which they were last used.
 #[derive(Debug)]
 pub struct ClientPool<C> {
     clients: BTreeMap<SocketAddr, Entry<C>>,
-    by_use: BTreeMap<u64, SocketAddr>,
+    /// The addresses by the number of their clients' last use.
+    by_last_use: BTreeMap<u64, SocketAddr>,
+    /// The number of the last use of any client.
     uses: u64,
 }
 
 #[derive(Debug)]
 struct Entry<C> {
     client: C,
-    used: u64,
+    last_use: u64,
 }
 
 impl<C> Default for ClientPool<C> {
     fn default() -> Self {
-        ClientPool { clients: BTreeMap::new(), by_use: BTreeMap::new(), uses: 0 }
+        ClientPool { clients: BTreeMap::new(), by_last_use: BTreeMap::new(), uses: 0 }
     }
 }
 
 impl<C: Clone> ClientPool<C> {
-    /// Clients that are held.
+    /// The number of clients.
     pub fn len(&self) -> usize {
         self.clients.len()
     }
 
-    /// Whether none is held.
+    /// Whether there is no client.
     pub fn is_empty(&self) -> bool {
         self.clients.is_empty()
     }
@@ -37,35 +41,35 @@
     /// The client of an address, which is the last used from now on.
     pub fn get(&mut self, address: SocketAddr) -> Option<C> {
         let entry = self.clients.get_mut(&address)?;
-        self.by_use.remove(&entry.used);
+        self.by_last_use.remove(&entry.last_use);
         self.uses += 1;
-        entry.used = self.uses;
-        self.by_use.insert(self.uses, address);
+        entry.last_use = self.uses;
+        self.by_last_use.insert(self.uses, address);
         Some(entry.client.clone())
     }
 
-    /// Holds a client for an address in place of any that it had; it is the last used.
+    /// Sets the client of an address in place of any that it had; it is the last used.
     pub fn insert(&mut self, address: SocketAddr, client: C) {
         self.remove(address);
         self.uses += 1;
-        self.clients.insert(address, Entry { client, used: self.uses });
-        self.by_use.insert(self.uses, address);
+        self.clients.insert(address, Entry { client, last_use: self.uses });
+        self.by_last_use.insert(self.uses, address);
     }
 
-    /// Gives an address's client up.
+    /// Removes an address's client.
     pub fn remove(&mut self, address: SocketAddr) -> Option<C> {
-        let Entry { client, used } = self.clients.remove(&address)?;
-        self.by_use.remove(&used);
+        let Entry { client, last_use } = self.clients.remove(&address)?;
+        self.by_last_use.remove(&last_use);
         Some(client)
     }
 
-    /// Gives the client up that was used longest ago.
+    /// Removes the least recently used client.
     pub fn remove_least_recent(&mut self) -> Option<C> {
-        let (_, address) = self.by_use.pop_first()?;
+        let (_, address) = self.by_last_use.pop_first()?;
         self.clients.remove(&address).map(|entry| entry.client)
     }
 
-    /// Gives all up but that of one address.
+    /// Removes all clients but that of one address.
     pub fn retain_only(&mut self, address: SocketAddr) {
         let kept = self.remove(address);
         self.clear();
@@ -74,8 +78,9 @@
         }
     }
 
-    /// Gives all up.
+    /// Removes all clients.
     pub fn clear(&mut self) {
-        (self.clients, self.by_use) = Default::default();
+        self.clients.clear();
+        self.by_last_use.clear();
     }
 }
--- a/crates/sedgerun/src/dispatch_service.rs
+++ b/crates/sedgerun/src/dispatch_service.rs
@@ -169,7 +169,7 @@
     /// Calls off those of the attempts that have not begun: they never ran.
     fn call_off(self: &Rc<Self>, which: impl Fn(&(RequestId, u8), &Flight) -> bool) {
         let waiting = |(name, flight): (&(RequestId, u8), &Flight)| {
-            (!flight.begun.get() && which(name, flight)).then_some(*name)
+            (!flight.begun.is_started() && which(name, flight)).then_some(*name)
         };
         let called_off: Vec<_> = self.flights.borrow().iter().filter_map(waiting).collect();
         for (id, attempt) in called_off {
@@ -338,7 +338,7 @@
         let begun = AttemptStarted::default();
         let making = begun.clone();
         let task = actix_rt::spawn(async move {
-            let ended = making.of(dispatch.backends.attempt(node, left, &job)).await;
+            let ended = making.scope(dispatch.backends.attempt(node, left, &job)).await;
             dispatch.attempt_ended(
                 id,
                 attempt,
--- a/crates/sedgerun/tests/pool.rs
+++ b/crates/sedgerun/tests/pool.rs
@@ -1,4 +1,4 @@
-//! The clients of nodes: the one that rested longest goes first, whatever was used, replaced or removed before.
+//! The pool of clients: the least recently used one goes first, whatever was used, replaced or removed before.
 
 use proptest::prelude::*;
 use sedgerun::backend::pool::ClientPool;
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn the_client_that_rested_longest_goes_first() {
+fn the_least_recently_used_client_goes_first() {
     let mut pool = ClientPool::default();
     (0..4).for_each(|number| pool.insert(address(number), number));
     assert_eq!(pool.get(address(0)), Some(0));
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn all_can_be_given_up_but_one() {
+fn all_but_one_can_be_removed() {
     let mut pool = ClientPool::default();
     (0..4).for_each(|number| pool.insert(address(number), number));
     pool.retain_only(address(2));
@@ -33,12 +33,12 @@
 
 proptest! {
     #[test]
-    fn it_keeps_the_order_of_use(steps in prop::collection::vec((0_u8..4, 0_u16..6), 0..200)) {
+    fn the_pool_keeps_the_order_of_use(steps in prop::collection::vec((0_u8..4, 0_u16..6), 0..200)) {
         let mut pool = ClientPool::default();
-        // What it holds, the least recently used first.
+        // What the pool has, the least recently used first.
         let mut model: Vec<(u16, usize)> = Vec::new();
         for (step, (kind, number)) in steps.into_iter().enumerate() {
-            let at = model.iter().position(|(held, _)| *held == number);
+            let at = model.iter().position(|(address, _)| *address == number);
             match kind {
                 0 => {
                     at.map(|at| model.remove(at));
@@ -46,13 +46,13 @@
                     pool.insert(address(number), step);
                 }
                 1 => {
-                    let held = at.map(|at| model.remove(at));
-                    model.extend(held);
-                    prop_assert_eq!(pool.get(address(number)), held.map(|(_, client)| client));
+                    let entry = at.map(|at| model.remove(at));
+                    model.extend(entry);
+                    prop_assert_eq!(pool.get(address(number)), entry.map(|(_, client)| client));
                 }
                 2 => {
-                    let held = at.map(|at| model.remove(at).1);
-                    prop_assert_eq!(pool.remove(address(number)), held);
+                    let client = at.map(|at| model.remove(at).1);
+                    prop_assert_eq!(pool.remove(address(number)), client);
                 }
                 _ => {
                     let oldest = (!model.is_empty()).then(|| model.remove(0).1);
