--- /dev/null
+++ b/crates/sedgerun/src/backend/ninep/connection.rs
@@ -0,0 +1,206 @@
+//! One connection to a 9P backend, shared by its attempts: calls and their replies, flushes, the end.
+//!
+//! Two tasks serve it, one that writes queued frames and one that hands replies out; both end with the connection.
+//! It does no more than messages: what an operation takes is in [`super::operation`].
+
+use super::fids::{FidGuard, FidTable};
+use super::in_flight::InFlightTags;
+use crate::descriptors::DescriptorPermit;
+use sedgerun_protocol_9p::{HEADER, MOST_SIZE, Message, NO_TAG, VERSION, frame_length};
+use std::cell::{Cell, RefCell};
+use std::net::SocketAddr;
+use std::rc::{Rc, Weak};
+use thiserror::Error;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::TcpStream;
+use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
+use tokio::sync::mpsc;
+use tokio::task::AbortHandle;
+
+/// Frames that may wait for a backend's socket: attempts at a backend are bounded well below it.
+const MAX_QUEUED_FRAMES: usize = 512;
+
+/// The connection could not be made, ended, or is of no further use.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+#[error("the connection is lost")]
+pub(super) struct ConnectionLost;
+
+/// A connection on which the version is agreed.
+pub(super) struct Connection {
+    frames: mpsc::Sender<Vec<u8>>,
+    in_flight: RefCell<InFlightTags>,
+    pub(super) fids: RefCell<FidTable>,
+    is_closed: Cell<bool>,
+    /// The largest message that both sides take, in bytes.
+    max_message_bytes: Cell<u32>,
+    tasks: RefCell<Vec<AbortHandle>>,
+    /// Held for as long as the connection.
+    _descriptor: DescriptorPermit,
+}
+
+impl Drop for Connection {
+    fn drop(&mut self) {
+        self.abort_tasks();
+    }
+}
+
+/// A call without its reply yet. Where it is dropped before the reply comes, it is flushed at the backend.
+struct PendingCall<'a> {
+    connection: &'a Connection,
+    tag: u16,
+    is_done: bool,
+}
+
+impl Drop for PendingCall<'_> {
+    fn drop(&mut self) {
+        if !self.is_done {
+            self.connection.flush(self.tag);
+        }
+    }
+}
+
+impl Connection {
+    /// Connects, and agrees on the version and the size of messages.
+    pub(super) async fn open(
+        address: SocketAddr,
+        descriptor: DescriptorPermit,
+    ) -> Result<Rc<Connection>, ConnectionLost> {
+        let stream = TcpStream::connect(address).await.map_err(|_| ConnectionLost)?;
+        let _ = stream.set_nodelay(true);
+        let (read_half, write_half) = stream.into_split();
+        let (frames, queue) = mpsc::channel::<Vec<u8>>(MAX_QUEUED_FRAMES);
+        let connection = Rc::new(Connection {
+            frames,
+            in_flight: RefCell::default(),
+            fids: RefCell::default(),
+            is_closed: Cell::new(false),
+            max_message_bytes: Cell::new(MOST_SIZE),
+            tasks: RefCell::default(),
+            _descriptor: descriptor,
+        });
+        let writer = actix_rt::spawn(write_frames(queue, write_half));
+        let reader = actix_rt::spawn(deliver_replies(read_half, Rc::downgrade(&connection)));
+        connection.tasks.borrow_mut().extend([writer.abort_handle(), reader.abort_handle()]);
+        connection.agree_on_version().await?;
+        Ok(connection)
+    }
+
+    async fn agree_on_version(&self) -> Result<(), ConnectionLost> {
+        let version = Message::Tversion { msize: MOST_SIZE, version: VERSION.into() };
+        match self.call_with_tag(NO_TAG, version).await? {
+            Message::Rversion { msize, version } if version == VERSION && msize > 2 * HEADER => {
+                self.max_message_bytes.set(msize.min(MOST_SIZE));
+                Ok(())
+            }
+            _ => Err(ConnectionLost),
+        }
+    }
+
+    /// Ends the connection, and with it all calls that wait for a reply.
+    pub(super) fn close(&self) {
+        self.is_closed.set(true);
+        self.in_flight.borrow_mut().clear();
+        self.abort_tasks();
+    }
+
+    fn abort_tasks(&self) {
+        self.tasks.borrow().iter().for_each(AbortHandle::abort);
+    }
+
+    /// Whether it still can be used: it is open, and no flush has been waiting for too long.
+    pub(super) fn is_usable(&self) -> bool {
+        !self.is_closed.get() && !self.in_flight.borrow().has_overdue_flush()
+    }
+
+    /// The most data that one message can carry, in bytes.
+    pub(super) fn max_data_bytes(&self) -> u32 {
+        self.max_message_bytes.get() - HEADER
+    }
+
+    /// A new fid, for one attempt unless it is kept.
+    pub(super) fn new_fid(&self) -> FidGuard<'_> {
+        FidGuard::new(&self.fids)
+    }
+
+    /// Sends a message and waits for its reply. Dropping the future flushes the call.
+    pub(super) async fn call(&self, message: Message) -> Result<Message, ConnectionLost> {
+        self.call_with_tag(self.free_tag()?, message).await
+    }
+
+    async fn call_with_tag(&self, tag: u16, message: Message) -> Result<Message, ConnectionLost> {
+        if self.is_closed.get() {
+            return Err(ConnectionLost);
+        }
+        let reply = self.in_flight.borrow_mut().insert_call(tag);
+        let mut call = PendingCall { connection: self, tag, is_done: false };
+        let is_sent = self.send(tag, &message);
+        let reply = if is_sent { reply.await.map_err(|_| ConnectionLost) } else { Err(ConnectionLost) };
+        call.is_done = true;
+        if !is_sent {
+            self.in_flight.borrow_mut().remove(tag);
+        }
+        reply
+    }
+
+    /// Tells the backend that nobody waits for a call any more.
+    fn flush(&self, flushed_tag: u16) {
+        let Ok(tag) = self.free_tag() else { return };
+        let mut in_flight = self.in_flight.borrow_mut();
+        in_flight.cancel(flushed_tag);
+        if self.send(tag, &Message::Tflush { oldtag: flushed_tag }) {
+            in_flight.insert_flush(tag, flushed_tag);
+        }
+    }
+
+    /// Gives back the fids that earlier attempts have left. It is done with a new attempt, so that a backend that
+    /// is to get nothing new gets no clunks either.
+    pub(super) fn clunk_stale(&self) {
+        let stale = self.fids.borrow_mut().take_stale();
+        for fid in stale {
+            let Ok(tag) = self.free_tag() else { return };
+            if self.send(tag, &Message::Tclunk { fid }) {
+                // Its reply, of whatever kind, frees the tag like a flush of itself.
+                self.in_flight.borrow_mut().insert_flush(tag, tag);
+            }
+        }
+    }
+
+    fn free_tag(&self) -> Result<u16, ConnectionLost> {
+        self.in_flight.borrow_mut().next_free().ok_or(ConnectionLost)
+    }
+
+    /// Queues a message; whether there was space for it, and the connection is open.
+    fn send(&self, tag: u16, message: &Message) -> bool {
+        self.frames.try_send(message.encode(tag)).is_ok()
+    }
+}
+
+/// Writes queued frames until the socket or the connection ends.
+async fn write_frames(mut queue: mpsc::Receiver<Vec<u8>>, mut write_half: OwnedWriteHalf) {
+    while let Some(frame) = queue.recv().await {
+        if write_half.write_all(&frame).await.is_err() {
+            break;
+        }
+    }
+}
+
+/// Hands replies out until the socket ends, which closes the connection, or the connection is dropped.
+async fn deliver_replies(mut read_half: OwnedReadHalf, connection: Weak<Connection>) {
+    while let Ok((tag, message)) = read_message(&mut read_half).await {
+        let Some(connection) = connection.upgrade() else { return };
+        connection.in_flight.borrow_mut().deliver(tag, message);
+    }
+    if let Some(connection) = connection.upgrade() {
+        connection.close();
+    }
+}
+
+/// Reads one message off a backend's connection.
+async fn read_message(read_half: &mut OwnedReadHalf) -> Result<(u16, Message), ConnectionLost> {
+    let mut length = [0; 4];
+    read_half.read_exact(&mut length).await.map_err(|_| ConnectionLost)?;
+    let frame_bytes = frame_length(length, MOST_SIZE).map_err(|_| ConnectionLost)?;
+    let mut frame = vec![0; frame_bytes - length.len()];
+    read_half.read_exact(&mut frame).await.map_err(|_| ConnectionLost)?;
+    Message::decode(&frame).map_err(|_| ConnectionLost)
+}
--- /dev/null
+++ b/crates/sedgerun/src/backend/ninep/files.rs
@@ -0,0 +1,109 @@
+//! From a client's path to a fid of this connection: attach, walk, and open again what a client has open.
+//!
+//! An attempt walks from the backend's root, so that it needs nothing that an earlier one left there.
+
+use super::connection::{Connection, ConnectionLost};
+use super::fids::{FidGuard, Root, TreeKey};
+use super::request::{NinePBackendRequest, Op};
+use sedgerun_protocol_9p::{MODE_ACCESS, MOST_NAMES, Message, NO_FID, QID_DIRECTORY};
+
+/// Why an operation does not go on.
+pub(super) enum OperationStopped {
+    /// The connection ended.
+    ConnectionLost,
+    /// The backend replied to a step on the way with this, which is the reply to the operation.
+    Replied(Message),
+}
+
+impl From<ConnectionLost> for OperationStopped {
+    fn from(ConnectionLost: ConnectionLost) -> OperationStopped {
+        OperationStopped::ConnectionLost
+    }
+}
+
+/// The root of the request's tree, attached where it is not yet.
+pub(super) async fn attach(
+    connection: &Connection,
+    request: &NinePBackendRequest,
+) -> Result<Root, OperationStopped> {
+    let key = TreeKey { uname: request.uname.clone(), tree: request.tree.clone() };
+    if let Some(root) = connection.fids.borrow().roots.get(&key) {
+        return Ok(*root);
+    }
+    let fid = connection.new_fid();
+    let (uname, aname) = (request.uname.clone(), request.tree.clone());
+    match connection.call(Message::Tattach { fid: fid.fid(), afid: NO_FID, uname, aname }).await? {
+        Message::Rattach { qid } => {
+            let root = Root { fid: fid.keep(), qid };
+            connection.fids.borrow_mut().roots.insert(key, root);
+            Ok(root)
+        }
+        other => Err(OperationStopped::Replied(other)),
+    }
+}
+
+/// A new fid for the request's file.
+pub(super) async fn walk<'a>(
+    connection: &'a Connection,
+    request: &NinePBackendRequest,
+) -> Result<FidGuard<'a>, OperationStopped> {
+    let root = attach(connection, request).await?;
+    let file = connection.new_fid();
+    let mut from = root.fid;
+    let mut parts: Vec<&[String]> = request.path.chunks(MOST_NAMES).collect();
+    if parts.is_empty() {
+        parts.push(&[]);
+    }
+    for names in parts {
+        let walk = Message::Twalk { fid: from, newfid: file.fid(), names: names.to_vec() };
+        match connection.call(walk).await? {
+            Message::Rwalk { qids } if qids.len() == names.len() => from = file.fid(),
+            Message::Rwalk { .. } => {
+                let not_found = Message::Rerror { ename: "file does not exist".into() };
+                return Err(OperationStopped::Replied(not_found));
+            }
+            other => return Err(OperationStopped::Replied(other)),
+        }
+    }
+    Ok(file)
+}
+
+/// The fid parked for a client's open file, or one opened again: without emptying the file, and for a
+/// directory read up to where the client is.
+pub(super) async fn resume(
+    connection: &Connection,
+    request: &NinePBackendRequest,
+) -> Result<u32, OperationStopped> {
+    if let Some(fid) = connection.fids.borrow().parked(request.handle) {
+        return Ok(fid);
+    }
+    let file = walk(connection, request).await?;
+    let fid = file.fid();
+    let qid = match connection.call(Message::Topen { fid, mode: request.mode & MODE_ACCESS }).await? {
+        Message::Ropen { qid, .. } => qid,
+        other => return Err(OperationStopped::Replied(other)),
+    };
+    if let (Op::Read { offset, .. }, true) = (&request.op, qid.kind & QID_DIRECTORY != 0) {
+        skip_directory_entries(connection, fid, *offset).await?;
+    }
+    file.park(request.handle);
+    Ok(fid)
+}
+
+/// Reads a directory up to an offset: the protocol lets it be read only in order.
+async fn skip_directory_entries(
+    connection: &Connection,
+    fid: u32,
+    until: u64,
+) -> Result<(), OperationStopped> {
+    let mut offset = 0;
+    while offset < until {
+        let count = (until - offset).min(u64::from(connection.max_data_bytes())) as u32;
+        match connection.call(Message::Tread { fid, offset, count }).await? {
+            Message::Rread { data } if !data.is_empty() => offset += data.len() as u64,
+            Message::Rread { .. } => break,
+            other => return Err(OperationStopped::Replied(other)),
+        }
+    }
+    Ok(())
+}
