--- a/crates/adapter/src/lib.rs
+++ b/crates/adapter/src/lib.rs
@@ -1,3 +1,3 @@
-//! The decisions of sedgerun on one simulator's wire: [`wire`] reads its frames and writes its replies.
+//! The decisions of sedgerun on one simulator's wire: [`wire`] reads its frames and writes frames of actions.
 
 pub mod wire;
--- a/crates/adapter/tests/frozen_wire.rs
+++ b/crates/adapter/tests/frozen_wire.rs
@@ -7,7 +7,7 @@
 //! The fixtures are written once, by `write_the_fixtures`, from a small world that plays clients and nodes. They are
 //! never written anew because a comparison fails.
 
-use sedgerun_adapter::wire::Reply;
+use sedgerun_adapter::wire::ActionFrame;
 use sedgerun_policy::{Action, BackendId};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write as _;
@@ -358,11 +358,11 @@
         (Action::Watch, "1a030001"),
     ];
     for (action, expected) in kinds {
-        let mut reply = Reply::default();
-        reply.push(3, &action);
+        let mut frame = ActionFrame::default();
+        frame.push(3, &action);
         let body = [&1u32.to_le_bytes(), bytes(expected).as_slice()].concat();
         let length = body.len() as u32;
-        assert_eq!(hex(&reply.frame()), hex(&[&length.to_le_bytes(), body.as_slice()].concat()));
+        assert_eq!(hex(&frame.frame()), hex(&[&length.to_le_bytes(), body.as_slice()].concat()));
     }
 }
 
--- a/crates/adapter/tests/wire.rs
+++ b/crates/adapter/tests/wire.rs
@@ -1,6 +1,6 @@
 //! The codec against frames made by hand, and the binary as a process.
 
-use sedgerun_adapter::wire::{Record, Reply, read_batch};
+use sedgerun_adapter::wire::{ActionFrame, Record, read_batch};
 use sedgerun_config::read_settings;
 use sedgerun_policy::*;
 use std::io::Write;
@@ -34,14 +34,14 @@
     record
 }
 
-fn simhost(input: &[u8]) -> Output {
+fn run_adapter(input: &[u8]) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_sedgerun-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
         .unwrap();
-    // A broken pipe is the child's refusal of the input; its exit code tells.
+    // A broken pipe means that the child refused the input; its exit code tells.
     let _ = child.stdin.take().unwrap().write_all(input);
     child.wait_with_output().unwrap()
 }
@@ -58,7 +58,7 @@
     );
     let read = read_batch(&batch(&[demand, outcome, list])).unwrap();
     assert_eq!(read.now, 5_000_000);
-    let node = BackendId(u64::from_le_bytes([0x0a, 0x12, 0x4a, 0x07, 0x8b, 0x13, 0, 0]));
+    let backend = BackendId(u64::from_le_bytes([0x0a, 0x12, 0x4a, 0x07, 0x8b, 0x13, 0, 0]));
     let request = Request {
         id: 0x5d3a_91c4,
         class: 0,
@@ -74,7 +74,7 @@
     let outcome = AttemptOutcome {
         id: 0x5d3a_91c4,
         attempt: 0,
-        backend: node,
+        backend,
         end: AttemptEnd::Ok,
         latency: 0x4844,
         request_ended: true,
@@ -82,31 +82,31 @@
         units_elsewhere: 3.0,
     };
     assert_eq!(read.records[1], (3, Record::Event(Event::AttemptEnded(outcome))));
-    let (_, Record::Event(Event::EndpointList { scope, endpoints: nodes })) = &read.records[2] else {
+    let (_, Record::Event(Event::EndpointList { scope, endpoints })) = &read.records[2] else {
         panic!("a list")
     };
-    assert_eq!((*scope, nodes[0].shard, nodes[0].zone), (UpdateScope::Cached, 5, 1));
-    assert_eq!((nodes[0].started_at, nodes[0].readiness), (0x5d1420, Readiness::Draining));
+    assert_eq!((*scope, endpoints[0].shard, endpoints[0].zone), (UpdateScope::Cached, 5, 1));
+    assert_eq!((endpoints[0].started_at, endpoints[0].readiness), (0x5d1420, Readiness::Draining));
 }
 
 #[test]
-fn actions_are_written_as_the_wire_says() {
-    let node = BackendId(u64::from_le_bytes([0x0a, 0x12, 0x4a, 0x07, 0x8b, 0x13, 0, 0]));
-    let mut reply = Reply::default();
-    reply.push(3, &Action::Send { id: 0x5d3a_91c4, backend: node, until: 0x8194da });
-    reply.push(3, &Action::SetTimer { at: 0x87fd7a, token: 0x4d });
-    reply.push(3, &Action::Reject { id: 1, retry_after: 0x1_0000_0000 });
-    reply.push(3, &Action::Watch);
+fn actions_are_written_in_the_bytes_of_the_wire() {
+    let backend = BackendId(u64::from_le_bytes([0x0a, 0x12, 0x4a, 0x07, 0x8b, 0x13, 0, 0]));
+    let mut frame = ActionFrame::default();
+    frame.push(3, &Action::Send { id: 0x5d3a_91c4, backend, until: 0x8194da });
+    frame.push(3, &Action::SetTimer { at: 0x87fd7a, token: 0x4d });
+    frame.push(3, &Action::Reject { id: 1, retry_after: 0x1_0000_0000 });
+    frame.push(3, &Action::Watch);
     let expected = bytes(
         "3f000000 04000000 10 0300 c4913a5d 0a124a07 8b13 da94810000000000 \
          14 0300 7afd870000000000 4d00000000000000 11 0300 01000000 ffffffff 1a 0300 01",
     );
-    assert_eq!(reply.frame()[4..], expected[4..]);
-    assert_eq!(reply.frame().len() - 4, u32::from_le_bytes(reply.frame()[..4].try_into().unwrap()) as usize);
+    assert_eq!(frame.frame()[4..], expected[4..]);
+    assert_eq!(frame.frame().len() - 4, u32::from_le_bytes(frame.frame()[..4].try_into().unwrap()) as usize);
 }
 
 #[test]
-fn settings_are_read_and_bad_ones_named() {
+fn settings_are_read_and_errors_name_the_faulty_key() {
     let settings = read_settings(SETTINGS).unwrap();
     assert_eq!((settings.classes[0].latency_objective, settings.plans[0].limit), (300_000, 18.0));
     assert_eq!(settings.rules, Rules::default());
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn the_host_serves_and_ends_with_the_input() {
+fn the_adapter_answers_and_ends_with_its_input() {
     let list = bytes(
         "11 0300 00 0100000000000000 01000000 0a124a07 8b13 0000 0000 0000000000000000 0000 0000803f 01",
     );
@@ -135,16 +135,16 @@
     let input =
         [frame(&batch(&[start(&SETTINGS.replace("neverOver", "reserve")), list])), frame(&batch(&[demand]))]
             .concat();
-    let output = simhost(&input);
+    let output = run_adapter(&input);
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
     // The attempt ends when the module says, so the last field is left open.
     let sent = bytes("10 0300 09000000 0a124a07 8b13");
     assert!(output.stdout.windows(sent.len()).any(|window| window == sent));
-    assert!(simhost(&[]).status.success());
+    assert!(run_adapter(&[]).status.success());
 }
 
 #[test]
-fn bad_input_ends_the_host_with_one_plain_line() {
+fn faulty_input_ends_the_adapter_with_one_line() {
     let truncated = batch(&[vec![18, 3, 0, 1]]);
     let mut trailing = batch(&[]);
     trailing.push(0);
@@ -157,7 +157,7 @@
         (frame(&trailing), "malformed frame"),
         (frame(&batch(&[start("balancers=1\n")])), "classes.count is missing"),
     ] {
-        let output = simhost(&input);
+        let output = run_adapter(&input);
         let line = String::from_utf8(output.stderr).unwrap();
         assert!(!output.status.success() && output.stdout.is_empty(), "{named}");
         assert!(line.contains(named) && line.trim_end().lines().count() == 1, "{line}");
