--- a/crates/vrrp/src/lib.rs
+++ b/crates/vrrp/src/lib.rs
@@ -1,17 +1,17 @@
-//! VRRP version 3 (RFC 9568): the state machine, as a function of events and time. It does no I/O;
-//! [`packet`] is its codec.
+//! VRRP version 3 (RFC 9568): the state machine, as a function of events and time. It does no I/O and has no clock;
+//! [`packet`] is its codec. The caller owns the [`Machine`], feeds it events and carries its actions out.
 
 pub mod packet;
 
 use sedgerun_policy::Micros;
 use std::net::{Ipv4Addr, SocketAddr};
 
-/// A hundredth of a second, the protocol's unit of time.
+/// A hundredth of a second in microseconds, the protocol's unit of time.
 pub const CENTISECOND: Micros = 10_000;
 /// The priority of the virtual addresses' owner.
 pub const OWNER: u8 = 255;
 
-/// What a virtual router is set up with.
+/// The configuration of a virtual router.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Router {
     /// The virtual router's number.
@@ -52,7 +52,7 @@
     Active,
 }
 
-/// What happens to a virtual router.
+/// An event of a virtual router.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// It begins to take part.
@@ -65,7 +65,7 @@
     Received(Advertisement, SocketAddr),
 }
 
-/// What a virtual router does.
+/// What is to be done for a virtual router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Send an advertisement of this priority to all others.
@@ -92,64 +92,89 @@
 }
 
 impl Machine {
-    fn skew(&self, router: &Router) -> Micros {
-        (256 - Micros::from(router.priority)) * Micros::from(self.active_interval) * CENTISECOND / 256
-    }
-
-    fn down(&self, router: &Router) -> Micros {
-        3 * Micros::from(self.active_interval) * CENTISECOND + self.skew(router)
+    /// The state after an event, and what is to be done.
+    pub fn step(self, router: &Router, event: &Event, now: Micros) -> (Machine, Vec<Action>) {
+        match self.state {
+            State::Initialize => self.step_initialize(router, event, now),
+            State::Backup => self.step_backup(router, event, now),
+            State::Active => self.step_active(router, event, now),
+        }
     }
 
-    fn backup(mut self, router: &Router, interval: u16, now: Micros) -> Machine {
-        (self.state, self.active_interval) = (State::Backup, interval);
-        self.timer = Some(now + self.down(router));
-        self
+    fn step_initialize(self, router: &Router, event: &Event, now: Micros) -> (Machine, Vec<Action>) {
+        match event {
+            Event::Startup if router.priority == OWNER => self.take_over(router, now),
+            Event::Startup => {
+                (self.into_backup(router, router.interval, now), vec![Action::Became(State::Backup)])
+            }
+            _ => (self, Vec::new()),
+        }
     }
 
-    fn active(self, router: &Router, now: Micros) -> Machine {
-        let timer = Some(now + Micros::from(router.interval) * CENTISECOND);
-        Machine { state: State::Active, timer, ..self }
+    fn step_backup(self, router: &Router, event: &Event, now: Micros) -> (Machine, Vec<Action>) {
+        match event {
+            Event::Shutdown => (Machine::default(), vec![Action::Became(State::Initialize)]),
+            Event::Tick if self.has_fired(now) => self.take_over(router, now),
+            Event::Received(received, _) if received.priority == 0 => {
+                (Machine { timer: Some(now + self.skew_time(router)), ..self }, Vec::new())
+            }
+            Event::Received(received, _) if !router.preempt || received.priority >= router.priority => {
+                (self.into_backup(router, received.interval, now), Vec::new())
+            }
+            _ => (self, Vec::new()),
+        }
     }
 
-    /// The state after an event, and what is to be done.
-    pub fn step(self, router: &Router, event: &Event, now: Micros) -> (Machine, Vec<Action>) {
+    fn step_active(self, router: &Router, event: &Event, now: Micros) -> (Machine, Vec<Action>) {
         let advertise = Action::Advertise(router.priority);
-        let became = Action::Became;
-        let fired = self.timer.is_some_and(|at| at <= now);
-        match (self.state, event) {
-            (State::Initialize, Event::Startup) if router.priority == OWNER => {
-                (self.active(router, now), vec![advertise, became(State::Active)])
-            }
-            (State::Initialize, Event::Startup) => {
-                (self.backup(router, router.interval, now), vec![became(State::Backup)])
-            }
-            (State::Backup, Event::Shutdown) => (Machine::default(), vec![became(State::Initialize)]),
-            (State::Active, Event::Shutdown) => {
-                (Machine::default(), vec![Action::Advertise(0), became(State::Initialize)])
+        match event {
+            Event::Shutdown => {
+                (Machine::default(), vec![Action::Advertise(0), Action::Became(State::Initialize)])
             }
-            (State::Backup, Event::Tick) if fired => {
-                (self.active(router, now), vec![advertise, became(State::Active)])
-            }
-            (State::Active, Event::Tick) if fired => (self.active(router, now), vec![advertise]),
-            (State::Backup, Event::Received(heard, _)) => {
-                if heard.priority == 0 {
-                    (Machine { timer: Some(now + self.skew(router)), ..self }, Vec::new())
-                } else if !router.preempt || heard.priority >= router.priority {
-                    (self.backup(router, heard.interval, now), Vec::new())
+            Event::Tick if self.has_fired(now) => (self.into_active(router, now), vec![advertise]),
+            Event::Received(received, from) => {
+                let own_rank = (router.priority, router.own);
+                if received.priority > 0 && (received.priority, *from) > own_rank {
+                    let backup = self.into_backup(router, received.interval, now);
+                    (backup, vec![Action::Became(State::Backup)])
                 } else {
-                    (self, Vec::new())
-                }
-            }
-            (State::Active, Event::Received(heard, from)) => {
-                let ours = (router.priority, router.own);
-                if heard.priority > 0 && (heard.priority, *from) > ours {
-                    (self.backup(router, heard.interval, now), vec![became(State::Backup)])
-                } else {
-                    // One that stops, or one that must hear at once that this router is active.
-                    (self.active(router, now), vec![advertise])
+                    // The sender stops, or has to learn at once that this router is active.
+                    (self.into_active(router, now), vec![advertise])
                 }
             }
             _ => (self, Vec::new()),
         }
     }
+
+    fn take_over(self, router: &Router, now: Micros) -> (Machine, Vec<Action>) {
+        let actions = vec![Action::Advertise(router.priority), Action::Became(State::Active)];
+        (self.into_active(router, now), actions)
+    }
+
+    /// A backup of an active router that advertises at this interval.
+    fn into_backup(mut self, router: &Router, active_interval: u16, now: Micros) -> Machine {
+        self.state = State::Backup;
+        self.active_interval = active_interval;
+        self.timer = Some(now + self.active_down_interval(router));
+        self
+    }
+
+    fn into_active(self, router: &Router, now: Micros) -> Machine {
+        let timer = Some(now + Micros::from(router.interval) * CENTISECOND);
+        Machine { state: State::Active, timer, ..self }
+    }
+
+    fn has_fired(&self, now: Micros) -> bool {
+        self.timer.is_some_and(|at| at <= now)
+    }
+
+    /// The Skew_Time of RFC 9568, section 6.1: the higher the priority, the earlier a backup takes over.
+    fn skew_time(&self, router: &Router) -> Micros {
+        (256 - Micros::from(router.priority)) * Micros::from(self.active_interval) * CENTISECOND / 256
+    }
+
+    /// The Active_Down_Interval of RFC 9568, section 6.1.
+    fn active_down_interval(&self, router: &Router) -> Micros {
+        3 * Micros::from(self.active_interval) * CENTISECOND + self.skew_time(router)
+    }
 }
--- a/crates/vrrp/src/packet.rs
+++ b/crates/vrrp/src/packet.rs
@@ -1,11 +1,17 @@
-//! The codec of VRRP version 3 advertisements for IPv4.
+//! The codec of VRRP version 3 advertisements for IPv4 (RFC 9568, section 5.1).
 
 use super::Advertisement;
 use std::net::Ipv4Addr;
 
 /// Version 3, type 1.
 const VERSION_TYPE: u8 = 0x31;
-/// The largest interval: 12 bits.
+/// Bytes of an advertisement in front of its addresses.
+const HEADER_BYTES: usize = 8;
+/// Bytes of one address.
+const ADDRESS_BYTES: usize = 4;
+/// Where the checksum stands.
+const CHECKSUM: std::ops::Range<usize> = 6..8;
+/// The largest interval: 12 bits, in hundredths of a second.
 pub const MOST_INTERVAL: u16 = 0x0fff;
 
 /// The Internet checksum of a message: 0 over one that carries its own.
@@ -20,7 +26,7 @@
     !(sum as u16)
 }
 
-/// Writes an advertisement.
+/// Writes an advertisement, of the first 255 of its addresses.
 pub fn encode(advertisement: &Advertisement) -> Vec<u8> {
     let Advertisement { id, priority, interval, addresses } = advertisement;
     let count = addresses.len().min(usize::from(u8::MAX));
@@ -29,19 +35,21 @@
     bytes.extend([0, 0]);
     addresses.iter().take(count).for_each(|address| bytes.extend(address.octets()));
     let sum = checksum(&bytes);
-    bytes[6..8].copy_from_slice(&sum.to_be_bytes());
+    bytes[CHECKSUM].copy_from_slice(&sum.to_be_bytes());
     bytes
 }
 
-/// Reads an advertisement; `None` where it is to be discarded.
+/// Reads an advertisement; `None` where it is to be discarded: it is of another version or type, its length or its
+/// checksum is wrong, or its interval is 0.
 pub fn decode(bytes: &[u8]) -> Option<Advertisement> {
-    let (head, addresses) = bytes.split_at_checked(8)?;
-    let count = usize::from(head[3]);
-    if head[0] != VERSION_TYPE || count == 0 || addresses.len() != 4 * count || checksum(bytes) != 0 {
+    let (header, addresses) = bytes.split_at_checked(HEADER_BYTES)?;
+    let count = usize::from(header[3]);
+    let is_complete = count > 0 && addresses.len() == ADDRESS_BYTES * count;
+    if header[0] != VERSION_TYPE || !is_complete || checksum(bytes) != 0 {
         return None;
     }
-    let interval = u16::from_be_bytes([head[4], head[5]]) & MOST_INTERVAL;
+    let interval = u16::from_be_bytes([header[4], header[5]]) & MOST_INTERVAL;
     let address = |octets: &[u8]| Ipv4Addr::new(octets[0], octets[1], octets[2], octets[3]);
-    let addresses = addresses.chunks(4).map(address).collect();
-    (interval > 0).then_some(Advertisement { id: head[1], priority: head[2], interval, addresses })
+    let addresses = addresses.chunks(ADDRESS_BYTES).map(address).collect();
+    (interval > 0).then_some(Advertisement { id: header[1], priority: header[2], interval, addresses })
 }
