--- a/crates/sedgerun/src/dispatch_service/effects.rs
+++ b/crates/sedgerun/src/dispatch_service/effects.rs
@@ -41,7 +41,7 @@
         let started = AttemptStarted::default();
         let marker = started.clone();
         let task = actix_rt::spawn(async move {
-            let result = marker.of(service.backends.attempt(backend, time_left, &job)).await;
+            let result = marker.scope(service.backends.attempt(backend, time_left, &job)).await;
             let result = result.unwrap_or_else(|| AttemptResult::bare(AttemptEnd::CancelledUnsent));
             service.attempt_ended(key.id, key.attempt, result);
         });
