--- a/crates/sedgerun/src/admin/mod.rs
+++ b/crates/sedgerun/src/admin/mod.rs
@@ -57,13 +57,14 @@
     /// The virtual router, where there is one.
     pub vrrp: Option<Rc<VrrpRunner>>,
     /// The fleet that holds the tenants, where there is one.
-    pub fleet: Option<Rc<ClusterHandle>>,
+    pub cluster: Option<Rc<ClusterHandle>>,
 }
 
 impl Api {
     /// Accepts connections for as long as the future is polled. Fails where the HTTP service cannot be set up.
     pub async fn serve(self: Rc<Self>, listener: TcpListener) -> io::Result<()> {
-        let max_connections = if self.fleet.is_some() { MAX_CONNECTIONS_WITH_FLEET } else { MAX_CONNECTIONS };
+        let max_connections =
+            if self.cluster.is_some() { MAX_CONNECTIONS_WITH_FLEET } else { MAX_CONNECTIONS };
         let service = fn_service(move |request: Request| {
             let api = Rc::clone(&self);
             async move { Ok::<_, Infallible>(api.respond(request).await) }
@@ -110,7 +111,7 @@
             Ok(Err(response)) => return response,
             Err(_) => return ApiResponse::error(StatusCode::REQUEST_TIMEOUT, "the body is late"),
         };
-        match &self.fleet {
+        match &self.cluster {
             Some(cluster) => self.respond_from_cluster(cluster, &request, &body).await,
             None => self.respond_locally(&request, &body),
         }
--- a/crates/sedgerun/src/admin/tenants.rs
+++ b/crates/sedgerun/src/admin/tenants.rs
@@ -148,7 +148,7 @@
     fn tenant_json(&self, name: &str, exports: &BTreeMap<String, Rc<Export>>) -> Value {
         let exports: Vec<Value> = exports.values().map(|export| self.export_json(export)).collect();
         let mut json = json!({"tenant": name, "exports": exports});
-        if let Some(fleet) = &self.fleet {
+        if let Some(fleet) = &self.cluster {
             json["version"] = fleet.tenant_version(name).into();
         }
         json
--- a/crates/sedgerun/src/backend/backend_names.rs
+++ b/crates/sedgerun/src/backend/backend_names.rs
@@ -15,7 +15,7 @@
 
 impl BackendNames {
     /// The number of a name, a new one where it has none; the same name has the same one until it is forgotten.
-    pub fn node(&self, name: &str) -> BackendId {
+    pub fn id_of(&self, name: &str) -> BackendId {
         if let Some(id) = self.find(name) {
             return id;
         }
--- a/crates/sedgerun/src/backend/http/client.rs
+++ b/crates/sedgerun/src/backend/http/client.rs
@@ -52,7 +52,7 @@
     let connect =
         apply_fn::<_, _, _, _, Target, Target, _, _>(connect, move |uri: Target, tcp: &ConnectorService| {
             // Guards against a connection for which there is no descriptor, or only those kept for discovery.
-            let permit = (descriptors.left() >= least).then(|| descriptors.take());
+            let permit = (descriptors.available() >= least).then(|| descriptors.acquire());
             let connecting = permit.map(|permit| (permit, tcp.call(uri)));
             let (budget, traffic) = (budget.clone(), traffic.clone());
             async move {
--- a/crates/sedgerun/src/backend/http/mod.rs
+++ b/crates/sedgerun/src/backend/http/mod.rs
@@ -40,9 +40,9 @@
     /// The body.
     pub body: Bytes,
     /// Keeps the id from being used again for as long as the request, or an attempt of it, is open.
-    pub held: Option<RequestIdGuard>,
+    pub request_id_guard: Option<RequestIdGuard>,
     /// What a body over 64 KiB takes of the memory budget, for as long as the request is open.
-    pub taken: Option<MemoryReservation>,
+    pub body_reservation: Option<MemoryReservation>,
 }
 
 /// The HTTP client of the program: one with a pool of connections for each address, so that those to a backend
@@ -81,7 +81,7 @@
     /// The client of an address.
     fn client(&self, address: SocketAddr) -> Client {
         let mut clients = self.clients.borrow_mut();
-        if self.descriptors.left() == 0 {
+        if self.descriptors.available() == 0 {
             // Idle connections to other backends give way to one to this.
             clients.retain_only(address);
         }
@@ -90,7 +90,7 @@
         }
         // Guards against more backends than there are descriptors: were these to run out, all idle connections would
         // be closed at once, time and again, and hardly one be used twice.
-        if self.descriptors.left() <= self.spare_descriptors {
+        if self.descriptors.available() <= self.spare_descriptors {
             clients.remove_least_recent();
         }
         let client = client(self.timeouts, &self.budget, &self.descriptors, 1, None);
--- a/crates/sedgerun/src/backend/memory_budget.rs
+++ b/crates/sedgerun/src/backend/memory_budget.rs
@@ -23,13 +23,13 @@
     }
 
     /// The most that one body may take, in bytes.
-    pub fn most_body(&self) -> usize {
+    pub fn max_body_bytes(&self) -> usize {
         self.max_body_bytes
     }
 
     /// Reserves memory for one body; `None` where that many bytes are not free now, or are more than one body may
     /// take.
-    pub fn take(&self, bytes: usize) -> Option<MemoryReservation> {
+    pub fn reserve(&self, bytes: usize) -> Option<MemoryReservation> {
         let mut reservation = self.empty_reservation();
         reservation.grow(bytes as u64).ok().map(|()| reservation)
     }
@@ -64,7 +64,10 @@
         let most = self.budget.max_body_bytes;
         if bytes > most - self.bytes {
             let size = (self.bytes as u64).saturating_add(bytes as u64);
-            return Err(io::Error::new(io::ErrorKind::InvalidData, BodyTooLarge { size, most }));
+            return Err(io::Error::new(
+                io::ErrorKind::InvalidData,
+                BodyTooLarge { bytes: size, max_bytes: most },
+            ));
         }
         let available = self.budget.available_bytes.get().checked_sub(bytes);
         let available =
@@ -84,12 +87,12 @@
 
 /// A body over the most that one may take up. It comes inside an [`io::Error`] of the kind `InvalidData`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("a body of {size} bytes or more, over the limit of {most}")]
+#[error("a body of {bytes} bytes or more, over the limit of {max_bytes}")]
 pub struct BodyTooLarge {
     /// Its bytes, as far as they were announced or had come.
-    pub size: u64,
+    pub bytes: u64,
     /// The most that a body may take up, in bytes.
-    pub most: usize,
+    pub max_bytes: usize,
 }
 
 /// A body for which the budget has no bytes left now.
--- a/crates/sedgerun/src/backend/ninep/files.rs
+++ b/crates/sedgerun/src/backend/ninep/files.rs
@@ -4,7 +4,7 @@
 
 use super::connection::{Connection, ConnectionLost};
 use super::fids::{FidGuard, Root, TreeKey};
-use super::request::{NinePBackendRequest, Op};
+use super::request::{FileOperation, NinePBackendRequest};
 use sedgerun_protocol_9p::{MODE_ACCESS, MOST_NAMES, Message, NO_FID, QID_DIRECTORY};
 
 /// Why an operation does not go on.
@@ -83,7 +83,7 @@
         Message::Ropen { qid, .. } => qid,
         other => return Err(OperationStopped::Replied(other)),
     };
-    if let (Op::Read { offset, .. }, true) = (&request.op, qid.kind & QID_DIRECTORY != 0) {
+    if let (FileOperation::Read { offset, .. }, true) = (&request.op, qid.kind & QID_DIRECTORY != 0) {
         skip_directory_entries(connection, fid, *offset).await?;
     }
     file.park(request.handle);
--- a/crates/sedgerun/src/backend/ninep/mod.rs
+++ b/crates/sedgerun/src/backend/ninep/mod.rs
@@ -10,7 +10,7 @@
 mod operation;
 mod request;
 
-pub use request::{NinePBackendRequest, Op};
+pub use request::{FileOperation, NinePBackendRequest};
 
 use super::{AttemptStarted, BackendResponse};
 use crate::descriptors::Descriptors;
@@ -62,7 +62,7 @@
         if let Some(old) = current.take() {
             old.close();
         }
-        let opening = Connection::open(address, self.descriptors.take());
+        let opening = Connection::open(address, self.descriptors.acquire());
         let connection = tokio::time::timeout(self.connect_timeout, opening)
             .await
             .map_err(|_| AttemptEnd::ConnectTimeout)?
--- a/crates/sedgerun/src/backend/ninep/operation.rs
+++ b/crates/sedgerun/src/backend/ninep/operation.rs
@@ -3,7 +3,7 @@
 use super::connection::{Connection, ConnectionLost};
 use super::fids::FidGuard;
 use super::files::{OperationStopped, attach, resume, walk};
-use super::request::{NinePBackendRequest, Op};
+use super::request::{FileOperation, NinePBackendRequest};
 use bytes::Bytes;
 use sedgerun_protocol_9p::{MODE_REMOVE, Message};
 
@@ -41,24 +41,24 @@
 
     async fn reply(&mut self) -> Reply {
         match &self.request.op {
-            Op::Attach => {
+            FileOperation::Attach => {
                 let root = attach(self.connection, self.request).await?;
                 Ok(Message::Rattach { qid: root.qid })
             }
-            Op::Walk { names } => self.walk_on(names).await,
-            Op::Open { mode } => self.open(*mode).await,
-            Op::Create { name, perm, mode } => self.create(name, *perm, *mode).await,
-            Op::Read { offset, count } => self.read(*offset, *count).await,
-            Op::Write { offset, data } => self.write(*offset, data).await,
-            Op::Stat => {
+            FileOperation::Walk { names } => self.walk_on(names).await,
+            FileOperation::Open { mode } => self.open(*mode).await,
+            FileOperation::Create { name, perm, mode } => self.create(name, *perm, *mode).await,
+            FileOperation::Read { offset, count } => self.read(*offset, *count).await,
+            FileOperation::Write { offset, data } => self.write(*offset, data).await,
+            FileOperation::Stat => {
                 let file = self.walk().await?;
                 Ok(self.connection.call(Message::Tstat { fid: file.fid() }).await?)
             }
-            Op::Wstat { stat } => {
+            FileOperation::Wstat { stat } => {
                 let file = self.walk().await?;
                 self.call_with_effect(Message::Twstat { fid: file.fid(), stat: stat.clone() }).await
             }
-            Op::Remove => {
+            FileOperation::Remove => {
                 let file = self.walk().await?;
                 let fid = file.keep(); // a remove gives the fid back, whatever the reply
                 self.call_with_effect(Message::Tremove { fid }).await
--- a/crates/sedgerun/src/backend/ninep/request.rs
+++ b/crates/sedgerun/src/backend/ninep/request.rs
@@ -5,7 +5,7 @@
 /// What a client wants of a file.
 #[derive(Clone, Debug, PartialEq)]
 #[allow(missing_docs, reason = "the fields are those of the protocol's messages")]
-pub enum Op {
+pub enum FileOperation {
     /// The root's qid.
     Attach,
     Walk {
@@ -48,5 +48,5 @@
     /// The access that it was opened for.
     pub mode: u8,
     /// The operation.
-    pub op: Op,
+    pub op: FileOperation,
 }
--- a/crates/sedgerun/src/config/mod.rs
+++ b/crates/sedgerun/src/config/mod.rs
@@ -135,7 +135,8 @@
             idle: reader.figure("limits.connIdle", DEFAULT_IDLE_TIMEOUT),
             dial: reader.figure("limits.dialTimeout", DEFAULT_DIAL_TIMEOUT),
             writes: reader.flags("specifics.changesData"),
-            most_open: (reader.figure("limits.maxOpen", DEFAULT_MAX_OPEN) as usize).min(resource_limits.open),
+            most_open: (reader.figure("limits.maxOpen", DEFAULT_MAX_OPEN) as usize)
+                .min(resource_limits.max_open_requests),
             resource_limits,
             operator: Operator::default(),
         };
--- a/crates/sedgerun/src/descriptors.rs
+++ b/crates/sedgerun/src/descriptors.rs
@@ -42,13 +42,13 @@
     }
 
     /// The number that connections of clients and backends may still use.
-    pub fn left(&self) -> usize {
+    pub fn available(&self) -> usize {
         let in_use = RESERVED + self.0.others.get() + self.0.permits.get();
         self.0.limit.saturating_sub(in_use)
     }
 
     /// Counts one more, whatever is left: for discovery, and for a connection that is open already.
-    pub fn take(&self) -> DescriptorPermit {
+    pub fn acquire(&self) -> DescriptorPermit {
         self.0.permits.set(self.0.permits.get() + 1);
         DescriptorPermit(self.clone())
     }
--- a/crates/sedgerun/src/discovery/delivery.rs
+++ b/crates/sedgerun/src/discovery/delivery.rs
@@ -24,7 +24,7 @@
     pub(super) fn new(dispatch: Rc<DispatchService>, config: &Config) -> ListDelivery {
         let names = &dispatch.backends().names;
         let boxes = config.operator.boxes.iter();
-        let operator_backends = boxes.map(|backend| (names.node(&backend.id), backend.shard)).collect();
+        let operator_backends = boxes.map(|backend| (names.id_of(&backend.id), backend.shard)).collect();
         ListDelivery {
             dispatch,
             operator_backends,
@@ -71,7 +71,7 @@
     fn place(&mut self, entry: EndpointEntry) -> Endpoint {
         let backends = self.dispatch.backends();
         let EndpointEntry { id, readiness, address, shard, zone, started_at } = entry;
-        let backend = backends.names.node(&id);
+        let backend = backends.names.id_of(&id);
         if self.operator_backends.contains_key(&backend) {
             self.operator_backends_listed.insert(backend);
         }
--- a/crates/sedgerun/src/discovery/failure.rs
+++ b/crates/sedgerun/src/discovery/failure.rs
@@ -58,7 +58,7 @@
             return PollFailure::Connection(error);
         }
         match cause.get_ref().and_then(|cause| cause.downcast_ref()) {
-            Some(BodyTooLarge { size, most }) => {
+            Some(BodyTooLarge { bytes: size, max_bytes: most }) => {
                 PollFailure::TooLarge(TooLarge { size: *size, bound: *most, unit: SizeUnit::Bytes })
             }
             None => PollFailure::MalformedResponse(error),
--- a/crates/sedgerun/src/dispatch_service/overrides.rs
+++ b/crates/sedgerun/src/dispatch_service/overrides.rs
@@ -49,7 +49,7 @@
     /// From now on these are the backends, by name, that the cluster disables.
     pub fn set_disabled_by_cluster<'a>(self: &Rc<Self>, names: impl Iterator<Item = &'a String>) {
         let now = self.clock.now();
-        let disabled = names.map(|name| self.backends.names.node(name)).collect();
+        let disabled = names.map(|name| self.backends.names.id_of(name)).collect();
         let changes = self.overrides.borrow_mut().set_disabled_by_cluster(disabled, now);
         self.notify_of_changes(now, changes);
     }
--- a/crates/sedgerun/src/frontend/http/accept.rs
+++ b/crates/sedgerun/src/frontend/http/accept.rs
@@ -70,11 +70,12 @@
     /// need some, and backends and discovery keep their descriptors.
     async fn has_capacity_for_client(&self) -> bool {
         let (limits, count) = (&self.config.resource_limits, self.connections.count());
-        let descriptors_short = self.dispatch.backends().descriptors().left() <= limits.boxes;
-        if !descriptors_short && count < limits.clients {
+        let descriptors_short =
+            self.dispatch.backends().descriptors().available() <= limits.descriptors_for_backends;
+        if !descriptors_short && count < limits.idle_client_threshold {
             return true;
         }
-        self.connections.give_way().await || (!descriptors_short && count < limits.most_clients)
+        self.connections.give_way().await || (!descriptors_short && count < limits.max_clients)
     }
 
     /// Serves a client in a task of its own, which ends with the connection.
@@ -84,7 +85,7 @@
     {
         let _ = stream.set_nodelay(true);
         let connection = Rc::new(ConnectionState::new(Instant::now()));
-        let permit = self.dispatch.backends().descriptors().take();
+        let permit = self.dispatch.backends().descriptors().acquire();
         let stream = ClientStream::new(stream, Rc::clone(&connection), permit);
         let number = self.connections.next_number();
         let open_connection = OpenConnection::new(Rc::clone(self), number);
--- a/crates/sedgerun/src/frontend/http/body.rs
+++ b/crates/sedgerun/src/frontend/http/body.rs
@@ -26,7 +26,7 @@
 
 /// The largest body that can ever be read, in bytes.
 pub(super) fn most_body(budget: &MemoryBudget) -> usize {
-    budget.most_body().max(MOST_BODY)
+    budget.max_body_bytes().max(MOST_BODY)
 }
 
 /// Reads a request's body whole: a body over 64 KiB takes memory of the budget, or is rejected while there is none.
@@ -110,7 +110,7 @@
 }
 
 fn reserve(budget: &MemoryBudget, bytes: usize) -> Result<MemoryReservation, RequestError> {
-    budget.take(bytes).ok_or_else(no_memory)
+    budget.reserve(bytes).ok_or_else(no_memory)
 }
 
 fn no_memory() -> RequestError {
--- a/crates/sedgerun/src/frontend/http/handler.rs
+++ b/crates/sedgerun/src/frontend/http/handler.rs
@@ -39,7 +39,7 @@
         };
         self.count(&request, response.status());
         // Guards against faulty clients that stay: they get their error, and their connection is closed.
-        if self.closing.get() || self.drained.get() || response.status().is_client_error() {
+        if self.is_closing.get() || self.is_drained.get() || response.status().is_client_error() {
             response.head_mut().set_connection_type(ConnectionType::Close);
             in_progress.connection().inspect(|connection| connection.record_last_answer());
         }
@@ -76,7 +76,7 @@
 
     /// Whether this head serves.
     fn health(&self) -> Response<BoxBody> {
-        if self.drained.get() {
+        if self.is_drained.get() {
             return text_line(StatusCode::SERVICE_UNAVAILABLE, "drained");
         }
         text_line(StatusCode::OK, "ok")
@@ -96,7 +96,7 @@
         }
         // The client's time runs from the last byte.
         let deadline = self.dispatch.clock().now() + parsed.timeout;
-        let id_guard = self.ids.hold(parsed.number).ok_or(RequestError::DuplicateRequestId)?;
+        let id_guard = self.ids.register(parsed.number).ok_or(RequestError::DuplicateRequestId)?;
         let (spec, backend_request) = parsed.into_backend_request(deadline, body, id_guard);
         let pending = self
             .dispatch
--- a/crates/sedgerun/src/frontend/http/mod.rs
+++ b/crates/sedgerun/src/frontend/http/mod.rs
@@ -50,9 +50,9 @@
     /// Its client connections.
     pub connections: Connections,
     /// The program is closing: each answer closes its connection.
-    pub closing: Cell<bool>,
+    pub is_closing: Cell<bool>,
     /// Operators have drained this head: `/healthz` answers 503, and each answer closes its connection.
-    pub drained: Cell<bool>,
+    pub is_drained: Cell<bool>,
     /// Memory for the bodies of requests over 64 KiB.
     body_budget: MemoryBudget,
 }
@@ -60,14 +60,17 @@
 impl HttpFrontend {
     /// A front end that submits its requests to this dispatch service.
     pub fn new(dispatch: Rc<DispatchService>, config: Rc<Config>) -> Rc<HttpFrontend> {
-        let body_budget = MemoryBudget::new(config.resource_limits.bodies, config.resource_limits.bodies);
+        let body_budget = MemoryBudget::new(
+            config.resource_limits.request_body_bytes,
+            config.resource_limits.request_body_bytes,
+        );
         Rc::new(HttpFrontend {
             dispatch,
             config,
             ids: Rc::default(),
             connections: Connections::default(),
-            closing: Cell::new(false),
-            drained: Cell::new(false),
+            is_closing: Cell::new(false),
+            is_drained: Cell::new(false),
             body_budget,
         })
     }
--- a/crates/sedgerun/src/frontend/http/request.rs
+++ b/crates/sedgerun/src/frontend/http/request.rs
@@ -117,8 +117,8 @@
             target: self.target,
             headers: self.headers,
             body: body.bytes,
-            held: Some(id_guard),
-            taken: body.reservation,
+            request_id_guard: Some(id_guard),
+            body_reservation: body.reservation,
         };
         (spec, backend_request)
     }
--- a/crates/sedgerun/src/frontend/ninep/accept.rs
+++ b/crates/sedgerun/src/frontend/ninep/accept.rs
@@ -47,8 +47,8 @@
 
     /// Whether one more client can be served; backends keep their descriptors.
     fn has_capacity_for_client(&self) -> bool {
-        let descriptors_left = self.dispatch.backends().descriptors().left();
-        descriptors_left > self.config.resource_limits.boxes
+        let descriptors_left = self.dispatch.backends().descriptors().available();
+        descriptors_left > self.config.resource_limits.descriptors_for_backends
             && self.count() < self.config.operator.ninep_clients
     }
 
@@ -59,7 +59,7 @@
         let (session, mut replies) = Session::new(shared);
         let session = Rc::new(session);
         let number = self.next_session.replace(self.next_session.get() + 1);
-        let descriptor = self.dispatch.backends().descriptors().take();
+        let descriptor = self.dispatch.backends().descriptors().acquire();
         let open_session = OpenSession { frontend: Rc::clone(self), number, _descriptor: descriptor };
         let served = Rc::clone(&session);
         let task = actix_rt::spawn(async move {
--- a/crates/sedgerun/src/frontend/ninep/mod.rs
+++ b/crates/sedgerun/src/frontend/ninep/mod.rs
@@ -66,7 +66,7 @@
         config: Rc<Config>,
         tenants: Rc<RefCell<TenantRegistry>>,
     ) -> Rc<NinePFrontend> {
-        let operation_permits = Arc::new(Semaphore::new(config.resource_limits.open));
+        let operation_permits = Arc::new(Semaphore::new(config.resource_limits.max_open_requests));
         Rc::new(NinePFrontend {
             dispatch,
             config,
--- a/crates/sedgerun/src/frontend/ninep/open.rs
+++ b/crates/sedgerun/src/frontend/ninep/open.rs
@@ -4,7 +4,7 @@
 use super::error::NinePError;
 use super::in_flight::Operation;
 use super::session::Session;
-use crate::backend::ninep::Op;
+use crate::backend::ninep::FileOperation;
 use sedgerun_protocol_9p::Message;
 
 impl NinePFrontend {
@@ -18,7 +18,7 @@
         let session = &*operation.session;
         let fid = session.fids.get(number)?;
         fid.check_not_open()?;
-        let reply = self.submit(operation, &fid, Op::Open { mode }).await?;
+        let reply = self.submit(operation, &fid, FileOperation::Open { mode }).await?;
         let Message::Ropen { qid, iounit } = reply else { return Ok(reply) };
         session.fids.update(number, |fid| fid.open_mode = Some(mode));
         Ok(Message::Ropen { qid, iounit: io_unit(session, iounit) })
@@ -39,7 +39,9 @@
         if name.is_empty() || name == "." || name == ".." || name.contains('/') {
             return Err(NinePError::MalformedName);
         }
-        let reply = self.submit(operation, &directory, Op::Create { name: name.clone(), perm, mode }).await?;
+        let reply = self
+            .submit(operation, &directory, FileOperation::Create { name: name.clone(), perm, mode })
+            .await?;
         let Message::Rcreate { qid, iounit } = reply else { return Ok(reply) };
         session.fids.update(number, |fid| {
             fid.path.push(name);
--- a/crates/sedgerun/src/frontend/ninep/operations.rs
+++ b/crates/sedgerun/src/frontend/ninep/operations.rs
@@ -4,7 +4,7 @@
 use super::error::NinePError;
 use super::fids::Fid;
 use super::in_flight::Operation;
-use crate::backend::ninep::Op;
+use crate::backend::ninep::FileOperation;
 use bytes::Bytes;
 use sedgerun_protocol_9p::{MODE_ACCESS, MODE_REMOVE, MODE_WRITE, Message, NO_FID, stat_name};
 
@@ -35,7 +35,9 @@
             Message::Twrite { fid, offset, data } => self.write(operation, fid, offset, data).await,
             Message::Tclunk { fid } => self.clunk(operation, fid).await,
             Message::Tremove { fid } => self.remove(operation, fid).await,
-            Message::Tstat { fid } => self.submit(operation, &session.fids.get(fid)?, Op::Stat).await,
+            Message::Tstat { fid } => {
+                self.submit(operation, &session.fids.get(fid)?, FileOperation::Stat).await
+            }
             Message::Twstat { fid, stat } => self.wstat(operation, fid, stat).await,
             _ => Err(NinePError::NotARequest),
         }
@@ -58,7 +60,7 @@
         let export = self.tenants.borrow().export(export_name);
         let export = export.ok_or_else(|| NinePError::UnknownExport(export_name.to_owned()))?;
         let root = Fid { export, uname, path: Vec::new(), open_mode: None, handle: self.new_handle() };
-        let reply = self.submit(operation, &root, Op::Attach).await?;
+        let reply = self.submit(operation, &root, FileOperation::Attach).await?;
         // Another operation of the session may have taken the number in between.
         fids.check_vacant(number, most_fids)?;
         if matches!(reply, Message::Rattach { .. }) {
@@ -81,7 +83,7 @@
             return Err(NinePError::NotOpenForReading);
         }
         let count = count.min(operation.session.most_data());
-        self.submit(operation, &fid, Op::Read { offset, count }).await
+        self.submit(operation, &fid, FileOperation::Read { offset, count }).await
     }
 
     /// Writes to an open file.
@@ -97,7 +99,7 @@
         if !matches!(mode & MODE_ACCESS, MODE_WRITE | MODE_READ_WRITE) {
             return Err(NinePError::NotOpenForWriting);
         }
-        self.submit(operation, &fid, Op::Write { offset, data }).await
+        self.submit(operation, &fid, FileOperation::Write { offset, data }).await
     }
 
     /// Gives up a fid, and removes its file where it was opened so.
@@ -106,7 +108,7 @@
         self.release_handle(fid.handle);
         if fid.open_mode.is_some_and(|mode| mode & MODE_REMOVE != 0) {
             // As with any server of 9P, the clunk succeeds whether or not the file could be removed.
-            let _ = self.submit(operation, &fid, Op::Remove).await;
+            let _ = self.submit(operation, &fid, FileOperation::Remove).await;
         }
         Ok(Message::Rclunk)
     }
@@ -118,7 +120,7 @@
         if fid.path.is_empty() {
             return Err(NinePError::RootStays);
         }
-        self.submit(operation, &fid, Op::Remove).await
+        self.submit(operation, &fid, FileOperation::Remove).await
     }
 
     /// Changes a file's directory entry; where that renames the file, the fid's path follows.
@@ -126,7 +128,7 @@
         let fids = &operation.session.fids;
         let fid = fids.get(number)?;
         let name = stat_name(&stat)?;
-        let reply = self.submit(operation, &fid, Op::Wstat { stat }).await?;
+        let reply = self.submit(operation, &fid, FileOperation::Wstat { stat }).await?;
         if matches!(reply, Message::Rwstat) && !name.is_empty() {
             fids.update(number, |fid| {
                 if let Some(last) = fid.path.last_mut() {
--- a/crates/sedgerun/src/frontend/ninep/reader.rs
+++ b/crates/sedgerun/src/frontend/ninep/reader.rs
@@ -57,7 +57,7 @@
 
     /// Waits until one more operation may be in flight, of this session and of all; `None` where no more are given out.
     async fn operation_permit(&self, session: &Session) -> Option<OwnedSemaphorePermit> {
-        session.operations.until_fewer_than(self.config.resource_limits.ninep_at_once).await;
+        session.operations.until_fewer_than(self.config.resource_limits.ninep_max_in_flight).await;
         Arc::clone(&self.operation_permits).acquire_owned().await.ok()
     }
 
--- a/crates/sedgerun/src/frontend/ninep/submission.rs
+++ b/crates/sedgerun/src/frontend/ninep/submission.rs
@@ -4,7 +4,7 @@
 use super::error::NinePError;
 use super::fids::Fid;
 use super::in_flight::Operation;
-use crate::backend::ninep::{NinePBackendRequest, Op};
+use crate::backend::ninep::{FileOperation, NinePBackendRequest};
 use crate::backend::{BackendRequest, BackendResponse};
 use crate::tenants::Export;
 use sedgerun_dispatch::{FinalAnswer, RequestSpec};
@@ -20,7 +20,7 @@
         &self,
         operation: &Operation,
         fid: &Fid,
-        op: Op,
+        op: FileOperation,
     ) -> Result<Message, NinePError> {
         let export = &fid.export;
         // Guards against going on with an export that its tenant has lost, or has in another form now.
@@ -55,7 +55,7 @@
     }
 
     /// The terms of a request: it has its class's deadline from now.
-    fn request_spec(&self, fid: &Fid, op: &Op) -> RequestSpec {
+    fn request_spec(&self, fid: &Fid, op: &FileOperation) -> RequestSpec {
         let export = &fid.export;
         let (class, bytes) = class_and_bytes(export, op);
         let time_limit = self.config.settings.classes.get(class).map_or(0, |class| class.deadline);
@@ -73,14 +73,19 @@
 }
 
 /// The class that an operation has in an export, and the bytes of data that it moves.
-fn class_and_bytes(export: &Export, op: &Op) -> (usize, u32) {
+fn class_and_bytes(export: &Export, op: &FileOperation) -> (usize, u32) {
     match op {
-        Op::Read { count, .. } if *count >= export.large_bytes => (export.large, *count),
-        Op::Read { count, .. } => (export.read, *count),
-        Op::Write { data, .. } => (export.write, data.len() as u32),
-        Op::Open { mode } if mode & MODE_TRUNCATE != 0 => (export.write, 0),
-        Op::Create { .. } | Op::Wstat { .. } | Op::Remove => (export.write, 0),
-        Op::Attach | Op::Walk { .. } | Op::Open { .. } | Op::Stat => (export.read, 0),
+        FileOperation::Read { count, .. } if *count >= export.large_bytes => (export.large, *count),
+        FileOperation::Read { count, .. } => (export.read, *count),
+        FileOperation::Write { data, .. } => (export.write, data.len() as u32),
+        FileOperation::Open { mode } if mode & MODE_TRUNCATE != 0 => (export.write, 0),
+        FileOperation::Create { .. } | FileOperation::Wstat { .. } | FileOperation::Remove => {
+            (export.write, 0)
+        }
+        FileOperation::Attach
+        | FileOperation::Walk { .. }
+        | FileOperation::Open { .. }
+        | FileOperation::Stat => (export.read, 0),
     }
 }
 
--- a/crates/sedgerun/src/frontend/ninep/walk.rs
+++ b/crates/sedgerun/src/frontend/ninep/walk.rs
@@ -4,7 +4,7 @@
 use super::error::NinePError;
 use super::fids::Fid;
 use super::in_flight::Operation;
-use crate::backend::ninep::Op;
+use crate::backend::ninep::FileOperation;
 use sedgerun_protocol_9p::Message;
 
 /// The most names in a path, and the most bytes: its names and a byte each.
@@ -31,7 +31,7 @@
         let reply = if steps == 0 {
             Message::Rwalk { qids: Vec::new() }
         } else {
-            self.submit(operation, &from, Op::Walk { names }).await?
+            self.submit(operation, &from, FileOperation::Walk { names }).await?
         };
         if matches!(&reply, Message::Rwalk { qids } if qids.len() == steps) {
             // Another operation of the session may have taken the number in between.
--- a/crates/sedgerun/src/head/drain.rs
+++ b/crates/sedgerun/src/head/drain.rs
@@ -48,14 +48,14 @@
         if self.listener_is_shared {
             // Another process accepts on the same socket: new clients go there, and these are sent on.
             self.stop_accepting();
-            self.http_frontend.closing.set(true);
+            self.http_frontend.is_closing.set(true);
         }
         let times = DrainTimes::new(&self.config.settings.classes);
         let answered_by = self.dispatch.clock().now() + times.answered_by.as_micros() as Micros;
         self.dispatch.set_final_deadline(answered_by);
         let begun = Instant::now();
         while begun.elapsed() < ARRIVAL_TIME || (begun.elapsed() < times.stay && self.has_clients()) {
-            self.http_frontend.connections.sweep(self.config.resource_limits.clients);
+            self.http_frontend.connections.sweep(self.config.resource_limits.idle_client_threshold);
             tokio::time::sleep(DRAIN_SWEEP_INTERVAL).await;
         }
         Phase::Closing
@@ -63,7 +63,7 @@
 
     /// Closes connections as they become idle, until none is left and all is answered.
     pub(super) async fn close(&mut self) -> Phase {
-        self.http_frontend.closing.set(true);
+        self.http_frontend.is_closing.set(true);
         self.stop_accepting();
         while self.has_clients() {
             self.http_frontend.connections.close_idle(usize::MAX, MIN_IDLE);
--- a/crates/sedgerun/src/head/mod.rs
+++ b/crates/sedgerun/src/head/mod.rs
@@ -72,13 +72,14 @@
     let limits = &config.resource_limits;
     let (dial, idle) = (Duration::from_micros(config.dial), Duration::from_micros(config.idle));
     let timeouts = ConnectionTimeouts { dial, idle };
-    let answer_budget = MemoryBudget::new(limits.answers, limits.answer);
+    let answer_budget = MemoryBudget::new(limits.response_body_bytes, limits.max_response_body_bytes);
     let descriptors = Descriptors::new(config.sockets);
-    let http = HttpBackend::new(timeouts, answer_budget, descriptors.clone(), 2 * limits.boxes);
+    let http =
+        HttpBackend::new(timeouts, answer_budget, descriptors.clone(), 2 * limits.descriptors_for_backends);
     let ninep = NinePBackend::new(timeouts.dial, descriptors.clone());
     let backends = Backends::new(http, ninep, descriptors);
     for backend in &config.operator.boxes {
-        backends.ninep.addresses.borrow_mut().insert(backends.names.node(&backend.id), backend.address);
+        backends.ninep.addresses.borrow_mut().insert(backends.names.id_of(&backend.id), backend.address);
     }
     DispatchService::new(Clock::start(), config.settings.clone(), config.seed, config.most_open, backends)
 }
@@ -218,7 +219,7 @@
             tenants: Rc::clone(&self.tenants),
             ninep: Rc::clone(&self.ninep_frontend),
             vrrp: self.vrrp.clone(),
-            fleet: self.cluster.clone(),
+            cluster: self.cluster.clone(),
         });
         actix_rt::spawn(async move {
             if let Err(error) = api.serve(listener).await {
@@ -241,18 +242,18 @@
     fn enforce_resource_limits(&self) {
         let limits = &self.config.resource_limits;
         let connections = &self.http_frontend.connections;
-        connections.sweep(limits.clients);
-        if self.http_frontend.drained.get() {
+        connections.sweep(limits.idle_client_threshold);
+        if self.http_frontend.is_drained.get() {
             // Drained: clients are sent away, and none is kept idle.
             connections.close_idle(usize::MAX, Duration::ZERO);
         }
         let descriptors = self.dispatch.backends().descriptors();
         descriptors.count_others();
-        if descriptors.left() < limits.boxes {
+        if descriptors.available() < limits.descriptors_for_backends {
             // Idle connections to backends are closed, and some of the idle clients: those that wait for an answer
             // need theirs.
             self.dispatch.backends().http.shed_idle();
-            connections.close_idle(limits.boxes, GIVE_WAY_TIME);
+            connections.close_idle(limits.descriptors_for_backends, GIVE_WAY_TIME);
         }
     }
 }
--- a/crates/sedgerun/src/management/mod.rs
+++ b/crates/sedgerun/src/management/mod.rs
@@ -144,14 +144,14 @@
     }
 
     fn drain(&self) -> String {
-        self.http_frontend.drained.set(true);
+        self.http_frontend.is_drained.set(true);
         self.http_frontend.connections.close_idle(usize::MAX, Duration::ZERO);
         tracing::info!("mgmt: drained");
         "YES drained\n".to_owned()
     }
 
     fn resume(&self) -> String {
-        self.http_frontend.drained.set(false);
+        self.http_frontend.is_drained.set(false);
         tracing::info!("mgmt: resumed");
         "YES resumed\n".to_owned()
     }
@@ -218,7 +218,7 @@
         loop {
             if let Some(names) = handover.read_if_changed() {
                 let backend_names = &self.dispatch.backends().names;
-                let disabled = names.iter().map(|name| backend_names.node(name)).collect();
+                let disabled = names.iter().map(|name| backend_names.id_of(name)).collect();
                 self.dispatch.set_disabled_by_head(disabled);
             }
             tokio::time::sleep(HANDOVER_POLL_INTERVAL).await;
--- a/crates/sedgerun/src/request_ids.rs
+++ b/crates/sedgerun/src/request_ids.rs
@@ -23,7 +23,7 @@
 
 impl RequestIds {
     /// Registers an id; `None` where its request is open or was a moment ago.
-    pub fn hold(self: &Rc<Self>, id: u64) -> Option<RequestIdGuard> {
+    pub fn register(self: &Rc<Self>, id: u64) -> Option<RequestIdGuard> {
         self.forget_old();
         let is_new = self.known.borrow_mut().insert(id);
         is_new.then(|| RequestIdGuard { ids: Rc::clone(self), id })
--- a/crates/sedgerun/src/resource_limits.rs
+++ b/crates/sedgerun/src/resource_limits.rs
@@ -14,25 +14,25 @@
 pub struct ResourceLimits {
     /// HTTP clients past which idle ones are closed. Clients have a third of the descriptors for requests; were
     /// it full of connections that stay, none would be left for those that send a request.
-    pub clients: usize,
+    pub idle_client_threshold: usize,
     /// The most HTTP clients at all; backends and discovery keep the rest of the descriptors.
-    pub most_clients: usize,
+    pub max_clients: usize,
     /// Descriptors that a new client leaves for backends.
-    pub boxes: usize,
+    pub descriptors_for_backends: usize,
     /// Requests that memory suffices for, each with a full body on either side.
-    pub open: usize,
+    pub max_open_requests: usize,
     /// Bytes that bodies of responses may take up on their way, all together.
-    pub answers: usize,
+    pub response_body_bytes: usize,
     /// The largest body of a response, in bytes.
-    pub answer: usize,
+    pub max_response_body_bytes: usize,
     /// Bytes that bodies of requests over 64 KiB may take up, all together: an eighth of memory.
-    pub bodies: usize,
+    pub request_body_bytes: usize,
     /// The largest endpoint list.
     pub list: ListBounds,
     /// The most 9P clients.
     pub ninep_clients: usize,
     /// Operations of one 9P client at once; past it the client's socket is not read.
-    pub ninep_at_once: usize,
+    pub ninep_max_in_flight: usize,
     /// The most fids of a 9P client.
     pub ninep_fids: usize,
 }
@@ -45,16 +45,16 @@
         let most_clients = (sockets * 5 / 8).min(5 * memory_mb).max(sockets / 3);
         let list_bytes = (memory_mb * LIST_BYTES_PER_MIB).max(MIN_LIST_BYTES);
         ResourceLimits {
-            clients,
-            most_clients,
-            boxes: (sockets / 16).max(2),
-            open: (4 * memory_mb).max(most_clients),
-            answers: memory_mb << 18,
-            answer: (memory_mb << 15).clamp(1 << 20, 4 << 20),
-            bodies: memory_mb << 17,
+            idle_client_threshold: clients,
+            max_clients: most_clients,
+            descriptors_for_backends: (sockets / 16).max(2),
+            max_open_requests: (4 * memory_mb).max(most_clients),
+            response_body_bytes: memory_mb << 18,
+            max_response_body_bytes: (memory_mb << 15).clamp(1 << 20, 4 << 20),
+            request_body_bytes: memory_mb << 17,
             list: ListBounds { bytes: list_bytes, entries: list_bytes / LIST_BYTES_PER_ENTRY },
             ninep_clients: (sockets / 6).min(memory_mb).max(1),
-            ninep_at_once: (memory_mb / 4).clamp(4, 64),
+            ninep_max_in_flight: (memory_mb / 4).clamp(4, 64),
             ninep_fids: (4 * memory_mb).clamp(64, 4096),
         }
     }
--- a/crates/sedgerun/tests/frozen_settings.rs
+++ b/crates/sedgerun/tests/frozen_settings.rs
@@ -65,10 +65,19 @@
 #[test]
 fn the_limits_on_memory_and_descriptors_come_to_their_bounds() {
     let bounds = read(None).resource_limits;
-    assert_eq!((bounds.clients, bounds.most_clients, bounds.boxes), (100, 375, 37));
-    assert_eq!((bounds.open, bounds.answers, bounds.answer), (384, 25_165_824, 3_145_728));
-    assert_eq!((bounds.bodies, bounds.list.bytes, bounds.list.entries), (12_582_912, 6_291_456, 24_576));
-    assert_eq!((bounds.ninep_clients, bounds.ninep_at_once, bounds.ninep_fids), (96, 24, 384));
+    assert_eq!(
+        (bounds.idle_client_threshold, bounds.max_clients, bounds.descriptors_for_backends),
+        (100, 375, 37)
+    );
+    assert_eq!(
+        (bounds.max_open_requests, bounds.response_body_bytes, bounds.max_response_body_bytes),
+        (384, 25_165_824, 3_145_728)
+    );
+    assert_eq!(
+        (bounds.request_body_bytes, bounds.list.bytes, bounds.list.entries),
+        (12_582_912, 6_291_456, 24_576)
+    );
+    assert_eq!((bounds.ninep_clients, bounds.ninep_max_in_flight, bounds.ninep_fids), (96, 24, 384));
 }
 
 #[test]
