--- a/crates/sedgerun/src/admin/cluster.rs
+++ b/crates/sedgerun/src/admin/cluster.rs
@@ -1,7 +1,7 @@
 //! The API where a fleet holds the tenants: changes are committed by the voters, and reads may wait for what was
 //! committed before.
 
-use super::Api;
+use super::AdminApi;
 use super::resource::Resource;
 use super::response::ApiResponse;
 use super::tenants::{no_such_path, or_error, parse_json};
@@ -14,7 +14,7 @@
 /// The longest idempotency key that a caller may give a change, in bytes.
 const MAX_IDEMPOTENCY_KEY: usize = 128;
 
-impl Api {
+impl AdminApi {
     /// Responds from the replicated state.
     pub(super) async fn respond_from_cluster(
         &self,
--- a/crates/sedgerun/src/admin/mod.rs
+++ b/crates/sedgerun/src/admin/mod.rs
@@ -43,7 +43,7 @@
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
 /// The administration API of one head.
-pub struct Api {
+pub struct AdminApi {
     /// Its settings.
     pub admin: Admin,
     /// The program's configuration.
@@ -60,7 +60,7 @@
     pub cluster: Option<Rc<ClusterHandle>>,
 }
 
-impl Api {
+impl AdminApi {
     /// Accepts connections for as long as the future is polled. Fails where the HTTP service cannot be set up.
     pub async fn serve(self: Rc<Self>, listener: TcpListener) -> io::Result<()> {
         let max_connections =
--- a/crates/sedgerun/src/admin/tenants.rs
+++ b/crates/sedgerun/src/admin/tenants.rs
@@ -1,6 +1,6 @@
 //! The API where this head alone holds the tenants: requests are answered from, and change, its registry.
 
-use super::Api;
+use super::AdminApi;
 use super::resource::Resource;
 use super::response::ApiResponse;
 use crate::replicated_state::read_export;
@@ -26,7 +26,7 @@
     Invalid(String),
 }
 
-impl Api {
+impl AdminApi {
     /// Responds from this head's registry.
     pub(super) fn respond_locally(&self, request: &Request, body: &[u8]) -> ApiResponse {
         match (request.method(), Resource::of(request)) {
@@ -69,7 +69,7 @@
         // All of it or nothing: a tenant half changed would serve what nobody requested.
         let mut changed = self.tenants.borrow().clone();
         let is_new = !changed.remove_tenant(name);
-        changed.open(name);
+        changed.add_tenant(name);
         for (_, export) in exports {
             add_export(&mut changed, name, export)?;
         }
@@ -158,8 +158,8 @@
         let config = &self.config;
         json!({"name": export.name, "tree": export.tree, "volume": format!("{:016x}", export.volume),
             "plan": config.plans[export.plan], "shard": export.shard, "heads": export.heads,
-            "readClass": config.classes[export.read], "writeClass": config.classes[export.write],
-            "largeClass": config.classes[export.large], "largeBytes": export.large_bytes,
+            "readClass": config.classes[export.read_class], "writeClass": config.classes[export.write_class],
+            "largeClass": config.classes[export.large_class], "largeBytes": export.large_bytes,
             "unitBytes": export.unit_bytes})
     }
 }
--- a/crates/sedgerun/src/backend/mod.rs
+++ b/crates/sedgerun/src/backend/mod.rs
@@ -68,7 +68,7 @@
     }
 
     /// Sets a backend's HTTP address, where it has one; idle connections to the one it had before are closed.
-    pub fn place(&self, backend: BackendId, address: Option<SocketAddr>) {
+    pub fn set_address(&self, backend: BackendId, address: Option<SocketAddr>) {
         let previous = match address {
             Some(address) => self.addresses.borrow_mut().insert(backend, address),
             None => self.addresses.borrow_mut().remove(&backend),
@@ -81,7 +81,7 @@
     /// Forgets a backend that was removed. Its name, should it come back, gets a new number. Backends that speak 9P
     /// stand in the operator's file and are never forgotten.
     pub fn forget(&self, backend: BackendId) {
-        self.place(backend, None);
+        self.set_address(backend, None);
         self.names.forget(backend);
     }
 
--- a/crates/sedgerun/src/command.rs
+++ b/crates/sedgerun/src/command.rs
@@ -136,8 +136,8 @@
     match command {
         None | Some(Command::Serve) => {
             let form = match log_format {
-                LogForm::Human => logging::Form::Human,
-                LogForm::Json => logging::Form::Json,
+                LogForm::Human => logging::LogFormat::Human,
+                LogForm::Json => logging::LogFormat::Json,
             };
             serve(sources(files), &log, form)
         }
@@ -196,7 +196,7 @@
 }
 
 /// Runs one head from start to exit; what is wrong with its settings is logged.
-pub fn serve(sources: Result<Sources, Faults>, log: &str, form: logging::Form) -> ExitCode {
+pub fn serve(sources: Result<Sources, Faults>, log: &str, form: logging::LogFormat) -> ExitCode {
     let _writing = match logging::start(log, form) {
         Ok(writing) => writing,
         Err(what) => {
@@ -252,6 +252,6 @@
         config.name,
         config.classes.len(),
         config.plans.len(),
-        operator.boxes.len()
+        operator.ninep_backends.len()
     ))
 }
--- a/crates/sedgerun/src/config/mod.rs
+++ b/crates/sedgerun/src/config/mod.rs
@@ -75,9 +75,9 @@
     /// Seed of random numbers.
     pub seed: u64,
     /// The most file descriptors that the program may have open.
-    pub sockets: usize,
+    pub max_descriptors: usize,
     /// The cached endpoint list: JSON in discovery's form, read by [`read_list`](crate::discovery::list::read_list).
-    pub known: Option<Box<RawValue>>,
+    pub cached_list: Option<Box<RawValue>>,
     /// The settings of the controller.
     pub settings: Settings,
     /// Names of the request classes, in order.
@@ -87,13 +87,13 @@
     /// Names of the zones, in order.
     pub zones: Vec<String>,
     /// How long an idle connection to a backend is kept.
-    pub idle: Micros,
+    pub idle_timeout: Micros,
     /// How long a connection to a backend may take to be made.
-    pub dial: Micros,
+    pub connect_timeout: Micros,
     /// Whether each class changes data, in order; empty where the settings do not say.
-    pub writes: Vec<bool>,
+    pub class_changes_data: Vec<bool>,
     /// The most requests that may be open at once.
-    pub most_open: usize,
+    pub max_open_requests: usize,
     /// What the limits on memory and descriptors leave for each part.
     pub resource_limits: ResourceLimits,
     /// What the operator's file adds.
@@ -126,16 +126,16 @@
             discovery: reader.address("discovery"),
             mgmt: reader.optional_address("mgmt", std::env::var("LB_MGMT").ok()),
             seed,
-            sockets,
-            known: document.cached_list,
+            max_descriptors: sockets,
+            cached_list: document.cached_list,
             settings,
             classes: reader.names("classes"),
             plans: reader.names("plans"),
             zones: reader.words("zones"),
-            idle: reader.figure("limits.connIdle", DEFAULT_IDLE_TIMEOUT),
-            dial: reader.figure("limits.dialTimeout", DEFAULT_DIAL_TIMEOUT),
-            writes: reader.flags("specifics.changesData"),
-            most_open: (reader.figure("limits.maxOpen", DEFAULT_MAX_OPEN) as usize)
+            idle_timeout: reader.figure("limits.connIdle", DEFAULT_IDLE_TIMEOUT),
+            connect_timeout: reader.figure("limits.dialTimeout", DEFAULT_DIAL_TIMEOUT),
+            class_changes_data: reader.flags("specifics.changesData"),
+            max_open_requests: (reader.figure("limits.maxOpen", DEFAULT_MAX_OPEN) as usize)
                 .min(resource_limits.max_open_requests),
             resource_limits,
             operator: Operator::default(),
@@ -152,7 +152,7 @@
     pub fn add_operator(&mut self, text: &str) -> Result<(), Faults> {
         self.operator = Operator::read(text, &self.name, self.catalogue(), &self.resource_limits)?;
         if let Some(fleet) = &mut self.operator.fleet {
-            fleet.sockets = self.sockets;
+            fleet.sockets = self.max_descriptors;
         }
         Ok(())
     }
@@ -168,14 +168,15 @@
             ("name", self.name == other.name),
             ("listen", self.listen == other.listen),
             ("mgmt", self.mgmt == other.mgmt),
-            ("limits.sockets", self.sockets == other.sockets),
+            ("limits.sockets", self.max_descriptors == other.max_descriptors),
             (
                 "limits.memory_mb",
-                self.resource_limits == other.resource_limits || self.sockets != other.sockets,
+                self.resource_limits == other.resource_limits
+                    || self.max_descriptors != other.max_descriptors,
             ),
-            ("limits.connIdle", self.idle == other.idle),
-            ("limits.dialTimeout", self.dial == other.dial),
-            ("limits.maxOpen", self.most_open == other.most_open),
+            ("limits.connIdle", self.idle_timeout == other.idle_timeout),
+            ("limits.dialTimeout", self.connect_timeout == other.connect_timeout),
+            ("limits.maxOpen", self.max_open_requests == other.max_open_requests),
             ("classes", self.classes == other.classes),
             ("plans", self.plans == other.plans),
             ("settings", self.settings == other.settings),
--- a/crates/sedgerun/src/discovery/delivery.rs
+++ b/crates/sedgerun/src/discovery/delivery.rs
@@ -23,7 +23,7 @@
     /// A delivery to this dispatch, with an empty list.
     pub(super) fn new(dispatch: Rc<DispatchService>, config: &Config) -> ListDelivery {
         let names = &dispatch.backends().names;
-        let boxes = config.operator.boxes.iter();
+        let boxes = config.operator.ninep_backends.iter();
         let operator_backends = boxes.map(|backend| (names.id_of(&backend.id), backend.shard)).collect();
         ListDelivery {
             dispatch,
@@ -79,7 +79,7 @@
             self.listed.remove(&backend);
         } else {
             self.listed.insert(backend);
-            backends.place(backend, address);
+            backends.set_address(backend, address);
         }
         Endpoint { backend, shard, zone, started_at, readiness }
     }
--- a/crates/sedgerun/src/frontend/http/request.rs
+++ b/crates/sedgerun/src/frontend/http/request.rs
@@ -69,7 +69,7 @@
         let placement_text = header_text(headers, PLACEMENT)?;
         let placement = Placement::parse(placement_text, config.settings.max_units)
             .ok_or_else(|| malformed(PLACEMENT, placement_text))?;
-        check_method(request.method(), class_name, config.writes.get(class).copied())?;
+        check_method(request.method(), class_name, config.class_changes_data.get(class).copied())?;
         let target = read_target(request)?;
         let content_length = read_content_length(headers, most_body)?;
         let mut passed_headers = vec![
--- a/crates/sedgerun/src/frontend/ninep/submission.rs
+++ b/crates/sedgerun/src/frontend/ninep/submission.rs
@@ -75,17 +75,17 @@
 /// The class that an operation has in an export, and the bytes of data that it moves.
 fn class_and_bytes(export: &Export, op: &FileOperation) -> (usize, u32) {
     match op {
-        FileOperation::Read { count, .. } if *count >= export.large_bytes => (export.large, *count),
-        FileOperation::Read { count, .. } => (export.read, *count),
-        FileOperation::Write { data, .. } => (export.write, data.len() as u32),
-        FileOperation::Open { mode } if mode & MODE_TRUNCATE != 0 => (export.write, 0),
+        FileOperation::Read { count, .. } if *count >= export.large_bytes => (export.large_class, *count),
+        FileOperation::Read { count, .. } => (export.read_class, *count),
+        FileOperation::Write { data, .. } => (export.write_class, data.len() as u32),
+        FileOperation::Open { mode } if mode & MODE_TRUNCATE != 0 => (export.write_class, 0),
         FileOperation::Create { .. } | FileOperation::Wstat { .. } | FileOperation::Remove => {
-            (export.write, 0)
+            (export.write_class, 0)
         }
         FileOperation::Attach
         | FileOperation::Walk { .. }
         | FileOperation::Open { .. }
-        | FileOperation::Stat => (export.read, 0),
+        | FileOperation::Stat => (export.read_class, 0),
     }
 }
 
--- a/crates/sedgerun/src/head/mod.rs
+++ b/crates/sedgerun/src/head/mod.rs
@@ -14,7 +14,7 @@
 pub use phase::Phase;
 pub use signals::Signals;
 
-use crate::admin::Api;
+use crate::admin::AdminApi;
 use crate::backend::Backends;
 use crate::backend::answer::MemoryBudget;
 use crate::backend::http::{ConnectionTimeouts, HttpBackend};
@@ -70,24 +70,31 @@
 /// The dispatcher of a head with its backends, by its configuration.
 pub fn new_dispatch_service(config: &Config) -> Rc<DispatchService> {
     let limits = &config.resource_limits;
-    let (dial, idle) = (Duration::from_micros(config.dial), Duration::from_micros(config.idle));
+    let (dial, idle) =
+        (Duration::from_micros(config.connect_timeout), Duration::from_micros(config.idle_timeout));
     let timeouts = ConnectionTimeouts { dial, idle };
     let answer_budget = MemoryBudget::new(limits.response_body_bytes, limits.max_response_body_bytes);
-    let descriptors = Descriptors::new(config.sockets);
+    let descriptors = Descriptors::new(config.max_descriptors);
     let http =
         HttpBackend::new(timeouts, answer_budget, descriptors.clone(), 2 * limits.descriptors_for_backends);
     let ninep = NinePBackend::new(timeouts.dial, descriptors.clone());
     let backends = Backends::new(http, ninep, descriptors);
-    for backend in &config.operator.boxes {
+    for backend in &config.operator.ninep_backends {
         backends.ninep.addresses.borrow_mut().insert(backends.names.id_of(&backend.id), backend.address);
     }
-    DispatchService::new(Clock::start(), config.settings.clone(), config.seed, config.most_open, backends)
+    DispatchService::new(
+        Clock::start(),
+        config.settings.clone(),
+        config.seed,
+        config.max_open_requests,
+        backends,
+    )
 }
 
 impl Head {
     /// A head that has not begun to serve.
     pub fn new(mut config: Config, sources: Sources, cluster: Option<ClusterHandle>) -> Head {
-        let known_endpoints = config.known.take();
+        let known_endpoints = config.cached_list.take();
         let config = Rc::new(config);
         let cluster = cluster.map(Rc::new);
         let dispatch = new_dispatch_service(&config);
@@ -212,7 +219,7 @@
 
     fn start_admin(&self, listener: Option<TcpListener>) {
         let (Some(listener), Some(admin)) = (listener, &self.config.operator.admin) else { return };
-        let api = Rc::new(Api {
+        let api = Rc::new(AdminApi {
             admin: admin.clone(),
             config: Rc::clone(&self.config),
             dispatch: Rc::clone(&self.dispatch),
--- a/crates/sedgerun/src/logging/mod.rs
+++ b/crates/sedgerun/src/logging/mod.rs
@@ -21,7 +21,7 @@
 
 /// The form of the lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Form {
+pub enum LogFormat {
     /// Time, level and text.
     Human,
     /// One JSON object a line.
@@ -46,7 +46,7 @@
 
 /// Starts to write what is at or over the level; `SEDGERUN_LOG` is a level, or `target=level` pairs joined by commas.
 /// Lines that wait are written when the guard is dropped.
-pub fn start(level: &str, form: Form) -> Result<WorkerGuard, LoggingError> {
+pub fn start(level: &str, form: LogFormat) -> Result<WorkerGuard, LoggingError> {
     let targets = targets(level)?;
     let (writer, guard) = NonBlockingBuilder::default()
         .lossy(true)
@@ -55,8 +55,8 @@
     let limit = RateLimitLayer { form, writer: writer.clone(), limit: RateLimit::default() };
     let lines = tracing_subscriber::fmt::layer().with_writer(writer).with_target(false);
     let lines = match form {
-        Form::Human => lines.with_ansi(std::io::stderr().is_terminal()).boxed(),
-        Form::Json => lines.json().flatten_event(true).boxed(),
+        LogFormat::Human => lines.with_ansi(std::io::stderr().is_terminal()).boxed(),
+        LogFormat::Json => lines.json().flatten_event(true).boxed(),
     };
     tracing_subscriber::registry().with(targets).with(limit).with(lines).try_init()?;
     Ok(guard)
@@ -75,7 +75,7 @@
 
 /// Applies the rate limit to each line, and writes how many lines were left out.
 struct RateLimitLayer {
-    form: Form,
+    form: LogFormat,
     writer: NonBlocking,
     limit: RateLimit,
 }
@@ -83,8 +83,8 @@
 impl RateLimitLayer {
     fn write_left_out(&self, left_out: u32) {
         let line = match self.form {
-            Form::Human => format!("{left_out} lines like the next were left out\n"),
-            Form::Json => {
+            LogFormat::Human => format!("{left_out} lines like the next were left out\n"),
+            LogFormat::Json => {
                 format!("{{\"level\":\"WARN\",\"message\":\"lines were left out\",\"lines\":{left_out}}}\n")
             }
         };
--- a/crates/sedgerun/src/management/mod.rs
+++ b/crates/sedgerun/src/management/mod.rs
@@ -94,7 +94,7 @@
 
     /// The most callers at once: a few of the descriptors.
     fn max_callers(&self) -> usize {
-        (self.config.sockets / 32).clamp(4, 32)
+        (self.config.max_descriptors / 32).clamp(4, 32)
     }
 
     /// Accepts callers for as long as the future is polled.
--- a/crates/sedgerun/src/operator.rs
+++ b/crates/sedgerun/src/operator.rs
@@ -36,7 +36,7 @@
     /// The tenants with their exports, as they are at the start.
     pub tenants: TenantRegistry,
     /// Backends that speak 9P.
-    pub boxes: Vec<NinepBackend>,
+    pub ninep_backends: Vec<NinepBackend>,
     /// The administration API.
     pub admin: Option<Admin>,
     /// The virtual router.
@@ -97,7 +97,7 @@
             ninep: address(&pairs, "ninep.listen"),
             ninep_clients: (ninep_clients as usize).min(resource_limits.ninep_clients),
             tenants,
-            boxes: (0..backend_count).map(|index| ninep_backend(&pairs, index)).collect(),
+            ninep_backends: (0..backend_count).map(|index| ninep_backend(&pairs, index)).collect(),
             admin: admin(&pairs),
             vrrp: vrrp(&pairs),
             fleet: ClusterSettings::read(&pairs, head),
--- a/crates/sedgerun/src/replicated_state.rs
+++ b/crates/sedgerun/src/replicated_state.rs
@@ -99,7 +99,7 @@
 
 /// Adds a tenant as far as this head's settings know what its exports name.
 fn add_tenant(registry: &mut TenantRegistry, config: &Config, name: &str, tenant: &Tenant) {
-    registry.open(name);
+    registry.add_tenant(name);
     for (export_name, fields) in &tenant.exports {
         let export = read_export(config, name, export_name, fields);
         let added = export.and_then(|export| registry.add(name, export).map_err(|error| error.to_string()));
--- a/crates/sedgerun/src/tenants.rs
+++ b/crates/sedgerun/src/tenants.rs
@@ -41,17 +41,17 @@
     /// Heads through which the volume is used.
     pub heads: f64,
     /// Position of the class of reads, and of other requests that change nothing.
-    pub read: usize,
+    pub read_class: usize,
     /// Position of the class of changes, which never run twice.
-    pub write: usize,
+    pub write_class: usize,
     /// Position of the class of large reads.
-    pub large: usize,
+    pub large_class: usize,
     /// The fewest bytes of a large read.
     pub large_bytes: u32,
     /// Bytes that count as one unit.
     pub unit_bytes: u32,
     /// The most units of a request.
-    pub top_units: f64,
+    pub max_units: f64,
 }
 
 impl Export {
@@ -84,19 +84,19 @@
             plan,
             shard: reader.count("shard", 0.0, MAX_U16, None),
             heads: f64::from(reader.count("heads", 1.0, MAX_U16, Some(1.0))),
-            read: reader.class("readClass").unwrap_or(0),
-            write,
-            large: reader.class("largeClass").unwrap_or(0),
+            read_class: reader.class("readClass").unwrap_or(0),
+            write_class: write,
+            large_class: reader.class("largeClass").unwrap_or(0),
             large_bytes: reader.count("largeBytes", 1.0, MAX_BYTES, Some(DEFAULT_LARGE_BYTES)),
             unit_bytes: reader.count("unitBytes", 1.0, MAX_BYTES, Some(DEFAULT_UNIT_BYTES)),
-            top_units: catalogue.settings.max_units.max(1.0),
+            max_units: catalogue.settings.max_units.max(1.0),
         };
         (reader.text("tenant").to_owned(), export)
     }
 
     /// The units that a request of so many bytes counts for.
     pub fn units(&self, bytes: u32) -> f64 {
-        f64::from(bytes.div_ceil(self.unit_bytes).max(1)).min(self.top_units)
+        f64::from(bytes.div_ceil(self.unit_bytes).max(1)).min(self.max_units)
     }
 }
 
@@ -194,7 +194,7 @@
     }
 
     /// Adds a tenant without exports, where there is no such tenant.
-    pub fn open(&mut self, tenant: &str) {
+    pub fn add_tenant(&mut self, tenant: &str) {
         self.tenants.entry(tenant.to_owned()).or_default();
     }
 
--- a/crates/sedgerun/tests/frozen_settings.rs
+++ b/crates/sedgerun/tests/frozen_settings.rs
@@ -50,16 +50,16 @@
     assert_eq!(config.discovery, address("127.0.0.1:7002"));
     assert_eq!(config.mgmt, Some(address("127.0.0.1:7003")));
     assert_eq!(config.seed, 0x2a5b);
-    assert_eq!(config.sockets, 600);
-    let known = config.known.as_ref().expect("a list").get();
+    assert_eq!(config.max_descriptors, 600);
+    let known = config.cached_list.as_ref().expect("a list").get();
     assert_eq!(known, r#"{"generation": 7, "reset": true, "instances": []}"#);
     assert_eq!(config.classes, ["read", "new_file", "bulk"]);
     assert_eq!(config.plans, ["even", "large"]);
     assert_eq!(config.zones, ["a", "b", "c_d"]);
-    assert_eq!(config.idle, 14_000_000);
-    assert_eq!(config.dial, 240_000);
-    assert_eq!(config.writes, [false, true, false]);
-    assert_eq!(config.most_open, 300);
+    assert_eq!(config.idle_timeout, 14_000_000);
+    assert_eq!(config.connect_timeout, 240_000);
+    assert_eq!(config.class_changes_data, [false, true, false]);
+    assert_eq!(config.max_open_requests, 300);
 }
 
 #[test]
@@ -174,12 +174,12 @@
         plan: 1,
         shard,
         heads: 1.0,
-        read: 0,
-        write: 1,
-        large: 2,
+        read_class: 0,
+        write_class: 1,
+        large_class: 2,
         large_bytes: 32_768,
         unit_bytes: 16_384,
-        top_units: 8.0,
+        max_units: 8.0,
     }
 }
 
@@ -195,12 +195,12 @@
         plan: 0,
         shard: 3,
         heads: 2.0,
-        read: 0,
-        write: 1,
-        large: 2,
+        read_class: 0,
+        write_class: 1,
+        large_class: 2,
         large_bytes: 40_000,
         unit_bytes: 20_000,
-        top_units: 8.0,
+        max_units: 8.0,
     };
     assert_eq!(tenants["horvat"].keys().collect::<Vec<_>>(), ["press", "proofs"]);
     assert_eq!(*tenants["horvat"]["press"], press);
@@ -214,7 +214,7 @@
     let operator = read(Some("operator.sexp")).operator;
     assert_eq!((operator.ninep, operator.ninep_clients), (Some(address("127.0.0.1:7010")), 90));
     let boxes: Vec<(&str, SocketAddr, u32)> =
-        operator.boxes.iter().map(|known| (known.id.as_str(), known.address, known.shard)).collect();
+        operator.ninep_backends.iter().map(|known| (known.id.as_str(), known.address, known.shard)).collect();
     assert_eq!(boxes, [("s-1", address("127.0.0.1:7011"), 3), ("s-2", address("127.0.0.1:7012"), 4)]);
     let admin = operator.admin.expect("the administration API");
     assert_eq!((admin.listen, admin.token.as_str()), (address("127.0.0.1:7013"), "a-token-for-the-tests"));
@@ -267,7 +267,10 @@
 fn the_older_form_comes_to_the_same_values() {
     let (older, forms) = (read(Some("operator_older.conf")).operator, read(Some("operator.sexp")).operator);
     assert_eq!((older.ninep, older.ninep_clients), (forms.ninep, forms.ninep_clients));
-    assert_eq!((older.boxes, older.admin, older.vrrp), (forms.boxes, forms.admin, forms.vrrp));
+    assert_eq!(
+        (older.ninep_backends, older.admin, older.vrrp),
+        (forms.ninep_backends, forms.admin, forms.vrrp)
+    );
     let tenants = older.tenants.all();
     assert_eq!((tenants.len(), tenants["horvat"].len()), (1, 1));
     let press = Export { tree: "main tree".to_owned(), ..(*forms.tenants.all()["horvat"]["press"]).clone() };
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -205,7 +205,7 @@
         let config = std::env::var("LB_CONFIG").map_err(|_| missing());
         let operator = std::env::var("LB_OPERATOR").ok();
         let sources = config.map(|config| Sources { config, operator });
-        return command::serve(sources, "info", logging::Form::Human);
+        return command::serve(sources, "info", logging::LogFormat::Human);
     }
     match run(command) {
         Ok(true) => ExitCode::SUCCESS,
--- a/crates/testbed/src/scale/hollow.rs
+++ b/crates/testbed/src/scale/hollow.rs
@@ -117,7 +117,7 @@
         let node = node.map_err(|error| error.to_string())?;
         let fleet = Rc::new(ClusterHandle::of(&node));
         let mut config = self.config()?;
-        let known = config.known.take();
+        let known = config.cached_list.take();
         let config = Rc::new(config);
         let dispatch = new_dispatch_service(&config);
         let node = Rc::new(RefCell::new(Some(node)));
