--- a/crates/config/src/policy_settings.rs
+++ b/crates/config/src/policy_settings.rs
@@ -111,7 +111,7 @@
         deduplication_window: pairs.duration(&key("dedupWindow"), Some(0.0)),
         ordered_by_key: pairs.flag(&key("inTurn"), false),
         priority_weight: pairs.figure(&key("worth"), 0.0, Some(1.0)),
-        late_weight: pairs.figure(&key("lateWorth"), 0.0, Some(0.0)),
+        overdue_weight: pairs.figure(&key("lateWorth"), 0.0, Some(0.0)),
     }
 }
 
--- a/crates/sedgerun/src/admin/tenants.rs
+++ b/crates/sedgerun/src/admin/tenants.rs
@@ -6,6 +6,7 @@
 use crate::replicated_state::read_export;
 use crate::tenants::{Export, TenantRegistry};
 use actix_http::{Method, Request, StatusCode};
+use sedgerun_config::Faults;
 use sedgerun_config::platform::flatten;
 use sedgerun_replication::view::Fields;
 use serde_json::{Value, json};
@@ -22,8 +23,8 @@
     #[error("setting {0} is unknown")]
     UnknownSetting(String),
     /// A value in it is missing, malformed or unknown to this head.
-    #[error("{0}")]
-    Invalid(String),
+    #[error(transparent)]
+    Invalid(#[from] Faults),
 }
 
 impl AdminApi {
@@ -141,7 +142,7 @@
         let name = name.or(own_name.as_ref().and_then(Value::as_str)).unwrap_or_default();
         let mut flat_fields = BTreeMap::new();
         flatten("", &Value::Object(fields), &mut flat_fields);
-        let export = read_export(&self.config, tenant, name, &flat_fields).map_err(ExportError::Invalid)?;
+        let export = read_export(&self.config, tenant, name, &flat_fields)?;
         Ok((flat_fields, export))
     }
 
--- a/crates/sedgerun/src/discovery/delivery.rs
+++ b/crates/sedgerun/src/discovery/delivery.rs
@@ -23,8 +23,8 @@
     /// A delivery to this dispatch, with an empty list.
     pub(super) fn new(dispatch: Rc<DispatchService>, config: &Config) -> ListDelivery {
         let names = &dispatch.backends().names;
-        let boxes = config.operator.ninep_backends.iter();
-        let operator_backends = boxes.map(|backend| (names.id_of(&backend.id), backend.shard)).collect();
+        let backends = config.operator.ninep_backends.iter();
+        let operator_backends = backends.map(|backend| (names.id_of(&backend.id), backend.shard)).collect();
         ListDelivery {
             dispatch,
             operator_backends,
--- a/crates/sedgerun/src/discovery/failure.rs
+++ b/crates/sedgerun/src/discovery/failure.rs
@@ -59,7 +59,7 @@
         }
         match cause.get_ref().and_then(|cause| cause.downcast_ref()) {
             Some(BodyTooLarge { bytes: size, max_bytes: most }) => {
-                PollFailure::TooLarge(TooLarge { size: *size, bound: *most, unit: SizeUnit::Bytes })
+                PollFailure::TooLarge(TooLarge { size: *size, limit: *most, unit: SizeUnit::Bytes })
             }
             None => PollFailure::MalformedResponse(error),
         }
--- a/crates/sedgerun/src/discovery/list/document.rs
+++ b/crates/sedgerun/src/discovery/list/document.rs
@@ -110,7 +110,7 @@
             return Ok(Some(Ok(entries)));
         }
         let (size, bound) = ((entries.len() + rest) as u64, self.max_entries);
-        Ok(Some(Err(ListError::TooLarge(TooLarge { size, bound, unit: SizeUnit::Entries }))))
+        Ok(Some(Err(ListError::TooLarge(TooLarge { size, limit: bound, unit: SizeUnit::Entries }))))
     }
 }
 
--- a/crates/sedgerun/src/discovery/list/mod.rs
+++ b/crates/sedgerun/src/discovery/list/mod.rs
@@ -65,12 +65,12 @@
 
 /// A list that this head cannot hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the list is too large: {size} {unit} or more, over the {bound} that limits.memory_mb allows")]
+#[error("the list is too large: {size} {unit} or more, over the {limit} that limits.memory_mb allows")]
 pub struct TooLarge {
     /// Its size, as far as it was read or announced.
     pub size: u64,
     /// The largest size that can be held.
-    pub bound: usize,
+    pub limit: usize,
     /// What both count.
     pub unit: SizeUnit,
 }
@@ -108,7 +108,7 @@
 pub fn read_list(text: &[u8], zones: &[String], bounds: ListBounds) -> Result<EndpointList, ListError> {
     if text.len() > bounds.bytes {
         let (size, bound) = (text.len() as u64, bounds.bytes);
-        return Err(ListError::TooLarge(TooLarge { size, bound, unit: SizeUnit::Bytes }));
+        return Err(ListError::TooLarge(TooLarge { size, limit: bound, unit: SizeUnit::Bytes }));
     }
     read_document(text, zones, bounds.entries)
 }
--- a/crates/sedgerun/tests/endpoint_list.rs
+++ b/crates/sedgerun/tests/endpoint_list.rs
@@ -171,7 +171,7 @@
     let full = document(&vec![entry(); 100]).to_string();
     assert_eq!(read(&full).expect("a full list").entries.len(), 100);
     let text = document(&vec![entry(); 140]).to_string();
-    let too_large = TooLarge { size: 140, bound: 100, unit: SizeUnit::Entries };
+    let too_large = TooLarge { size: 140, limit: 100, unit: SizeUnit::Entries };
     assert!(matches!(read(&text), Err(ListError::TooLarge(found)) if found == too_large));
     assert_eq!(
         refusal(&text),
--- a/crates/sedgerun/tests/frozen_settings.rs
+++ b/crates/sedgerun/tests/frozen_settings.rs
@@ -121,7 +121,7 @@
         deduplication_window: 5_000_000,
         ordered_by_key: false,
         priority_weight: 2.0,
-        late_weight: 0.2,
+        overdue_weight: 0.2,
     };
     let write = RequestClass {
         latency_objective: 250_000,
@@ -131,7 +131,7 @@
         deduplication_window: 6_000_000,
         ordered_by_key: true,
         priority_weight: 3.0,
-        late_weight: 0.25,
+        overdue_weight: 0.25,
     };
     let bulk = RequestClass {
         latency_objective: 1_200_000,
@@ -141,7 +141,7 @@
         deduplication_window: 7_000_000,
         ordered_by_key: false,
         priority_weight: 1.0,
-        late_weight: 0.3,
+        overdue_weight: 0.3,
     };
     assert_eq!(settings.classes, [read, write, bulk]);
     let even = ServicePlan {
