--- a/crates/cluster/src/disk/writer.rs
+++ b/crates/cluster/src/disk/writer.rs
@@ -149,7 +149,7 @@
                     }
                 }
                 Job::Put(key, bytes, _) | Job::PutWithoutSync(key, bytes) => {
-                    drop(meta.insert(key, bytes.as_slice())?)
+                    drop(meta.insert(key, bytes.as_slice())?);
                 }
                 Job::Truncate(from, _) => log.retain_in::<u64, _>(*from.., |_, _| false)?,
                 Job::Purge(upto, position, _) => {
--- a/crates/cluster/src/relay.rs
+++ b/crates/cluster/src/relay.rs
@@ -63,7 +63,7 @@
                 }
                 RegistrationOutcome::Refused(why) => refusal = Some(format!("{voter}: {why}")),
                 RegistrationOutcome::UnknownRequest(incarnation) => {
-                    registrations.legacy.remember(now(), &voter, incarnation)
+                    registrations.legacy.remember(now(), &voter, incarnation);
                 }
                 RegistrationOutcome::NoAnswer => {}
             }
--- a/crates/config/src/operator.rs
+++ b/crates/config/src/operator.rs
@@ -1,5 +1,5 @@
 //! The operator's file in its two forms. S-expressions are read as the pairs that the older form is made of, so that
-//! both meet the same checks; [`write`] converts the older form.
+//! both meet the same checks; [`write()`] converts the older form.
 
 use crate::fault::Faults;
 use crate::form::Form;
--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -8,7 +8,9 @@
 use crate::request::{AttemptInFlight, AttemptResult, OpenRequest, RequestSpec};
 use crate::timers::{TimerKind, TimerQueue};
 use sedgerun_policy::Controller;
-use sedgerun_policy::*;
+use sedgerun_policy::{
+    Action, AttemptEnd, AttemptOutcome, BackendId, Endpoint, Event, Micros, RequestId, Settings, UpdateScope,
+};
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
@@ -146,7 +148,7 @@
             match kind {
                 TimerKind::Controller(token) => self.handle(now, Event::Timer { token }),
                 TimerKind::AttemptTimeout(id, attempt) => {
-                    self.abandon_attempt(now, id, attempt, AttemptEnd::Timeout)
+                    self.abandon_attempt(now, id, attempt, AttemptEnd::Timeout);
                 }
                 TimerKind::RequestDeadline(id) => self.end_at_deadline(now, id),
             }
@@ -206,7 +208,7 @@
                 Action::Reject { id, retry_after } => self.finish(id, FinalAnswer::Rejected(retry_after)),
                 Action::Fail { id } => self.finish(id, FinalAnswer::Failed),
                 Action::Cancel { id, attempt } => {
-                    self.abandon_attempt(now, id, attempt, AttemptEnd::Cancelled)
+                    self.abandon_attempt(now, id, attempt, AttemptEnd::Cancelled);
                 }
                 Action::SetTimer { at, token } => self.timers.set(at, TimerKind::Controller(token)),
                 Action::CheckHealth { .. } => {}
--- a/crates/policy/src/controller.rs
+++ b/crates/policy/src/controller.rs
@@ -47,7 +47,7 @@
         match event {
             Event::EndpointList { scope: UpdateScope::Failed, .. } => self.on_poll_failure(now, actions),
             Event::EndpointList { scope, endpoints } => {
-                self.on_endpoint_list(now, scope, &endpoints, actions)
+                self.on_endpoint_list(now, scope, &endpoints, actions);
             }
             Event::Request(request) => self.admit(now, request, actions),
             Event::AttemptEnded(outcome) => self.on_attempt_end(now, &outcome, actions),
--- a/crates/replication/tests/simulator/mod.rs
+++ b/crates/replication/tests/simulator/mod.rs
@@ -451,7 +451,7 @@
             own.follower
                 .directory()
                 .into_iter()
-                .flat_map(|directory| directory.relays())
+                .flat_map(sedgerun_replication::relay::Directory::relays)
                 .map(|relay| &relay.peer.head)
                 .collect::<Vec<_>>(),
             self.cut,
--- a/crates/sedgerun/src/admin/mod.rs
+++ b/crates/sedgerun/src/admin/mod.rs
@@ -100,7 +100,7 @@
 
     /// Whether a request brings the token.
     fn is_authorized(&self, request: &Request) -> bool {
-        let value = request.headers().get("Authorization").map(|value| value.as_bytes());
+        let value = request.headers().get("Authorization").map(actix_http::header::HeaderValue::as_bytes);
         let token = value.and_then(|value| value.strip_prefix(b"Bearer ")).unwrap_or_default();
         secrets_match(token, self.admin.token.as_bytes())
     }
--- a/crates/sedgerun/src/backend/backend_names.rs
+++ b/crates/sedgerun/src/backend/backend_names.rs
@@ -34,7 +34,7 @@
 
     /// The name of a number; `None` for one that is not in use.
     pub fn name(&self, id: BackendId) -> Option<String> {
-        self.names.borrow().get(&id).map(|name| name.to_string())
+        self.names.borrow().get(&id).map(std::string::ToString::to_string)
     }
 
     /// All numbers in use, the lowest first.
--- a/crates/sedgerun/src/command.rs
+++ b/crates/sedgerun/src/command.rs
@@ -246,7 +246,7 @@
     }
     let config = sources(files)?.read()?;
     let operator = &config.operator;
-    let exports: usize = operator.tenants.all().values().map(|exports| exports.len()).sum();
+    let exports: usize = operator.tenants.all().values().map(std::collections::BTreeMap::len).sum();
     Ok(format!(
         "all is well: head {} with {} classes, {} plans; {exports} exports, {} 9P boxes\n",
         config.name,
--- a/crates/sedgerun/src/descriptors.rs
+++ b/crates/sedgerun/src/descriptors.rs
@@ -1,7 +1,7 @@
 //! The file descriptors of the program: what connections hold of those that it may, and what is reserved for
 //! discovery.
 //!
-//! [`Descriptors`] only counts. Whoever opens a connection asks [`Descriptors::left`] first, and keeps a
+//! [`Descriptors`] only counts. Whoever opens a connection asks [`Descriptors::available`] first, and keeps a
 //! [`DescriptorPermit`] for as long as the connection is open.
 
 use std::cell::Cell;
--- a/crates/sedgerun/src/discovery/list/document.rs
+++ b/crates/sedgerun/src/discovery/list/document.rs
@@ -186,7 +186,7 @@
             match key {
                 EntryKey::InstanceId => fields.id = object.next_value_seed(Lenient(Text(parse_id)))?,
                 EntryKey::HostPort => {
-                    fields.address = object.next_value_seed(Lenient(Text(parse_address)))?
+                    fields.address = object.next_value_seed(Lenient(Text(parse_address)))?;
                 }
                 EntryKey::Zone => {
                     let position = |name: &str| zone_position(self.zones, name);
@@ -197,7 +197,7 @@
                     fields.shard = shard.and_then(|shard| u32::try_from(shard).ok());
                 }
                 EntryKey::Lifecycle => {
-                    fields.readiness = object.next_value_seed(Lenient(Text(parse_readiness)))?
+                    fields.readiness = object.next_value_seed(Lenient(Text(parse_readiness)))?;
                 }
                 EntryKey::StartedAtMs => fields.started_at_ms = object.next_value_seed(Lenient(Number))?,
                 EntryKey::Other => drop(object.next_value::<IgnoredAny>()?),
--- a/crates/sedgerun/src/dispatch_service/effects.rs
+++ b/crates/sedgerun/src/dispatch_service/effects.rs
@@ -18,7 +18,7 @@
             let Some(effect) = self.dispatcher.borrow_mut().next_effect() else { break };
             match effect {
                 Effect::Send { id, attempt, backend, until, job } => {
-                    self.begin_attempt(AttemptKey { id, attempt }, backend, until, job)
+                    self.begin_attempt(AttemptKey { id, attempt }, backend, until, job);
                 }
                 Effect::Cancel { id, attempt } => self.abandon_attempt(AttemptKey { id, attempt }),
                 Effect::Final { id, answer } => self.give_answer(id, answer),
--- a/crates/sedgerun/src/frontend/ninep/reader.rs
+++ b/crates/sedgerun/src/frontend/ninep/reader.rs
@@ -128,7 +128,7 @@
             () = tokio::time::sleep(DISCONNECT_CHECK_INTERVAL) => {}
         }
         let ready = reading.ready(Interest::READABLE).now_or_never();
-        if ready.is_some_and(|ready| ready.is_ok_and(|ready| ready.is_read_closed())) {
+        if ready.is_some_and(|ready| ready.is_ok_and(tokio::io::Ready::is_read_closed)) {
             return None;
         }
     }
--- a/crates/sedgerun/src/management/mod.rs
+++ b/crates/sedgerun/src/management/mod.rs
@@ -206,8 +206,7 @@
         let Some(handover) = &self.handover else { return };
         let backend_names = &self.dispatch.backends().names;
         let disabled = self.dispatch.disabled_by_head().into_iter();
-        let names: Vec<String> =
-            disabled.filter_map(|backend| backend_names.name(backend)).map(|name| name.to_string()).collect();
+        let names: Vec<String> = disabled.filter_map(|backend| backend_names.name(backend)).collect();
         handover.write(&names);
     }
 
--- a/crates/sedgerun/tests/fleet.rs
+++ b/crates/sedgerun/tests/fleet.rs
@@ -126,9 +126,9 @@
             let left: Vec<SocketAddr> = left.collect();
             let begun = Instant::now();
             if still {
-                harness.program(leader).stand_still(true)
+                harness.program(leader).stand_still(true);
             } else {
-                harness.kill(leader)
+                harness.kill(leader);
             }
             settle(&left, "horvat", &format!("after{strike}"));
             times.push(begun.elapsed().as_millis());
--- a/crates/sedgerun/tests/standin/mod.rs
+++ b/crates/sedgerun/tests/standin/mod.rs
@@ -291,9 +291,9 @@
                 let mut qids = Vec::new();
                 for name in &names {
                     if name == ".." {
-                        drop(at.pop())
+                        drop(at.pop());
                     } else {
-                        at.push(name.clone())
+                        at.push(name.clone());
                     }
                     if !files.contains_key(&at) {
                         break;
