--- a/crates/testbed/src/sockets/http.rs
+++ b/crates/testbed/src/http.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 messages on a socket, read with httparse: as much as clients, boxes and the registry of a rehearsal
+//! HTTP/1.1 messages on a socket, read with httparse: as much as clients, backends and discovery of a test run
 //! need.
 
 use bytes::Buf;
@@ -6,9 +6,9 @@
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// The largest head, and the largest body.
-const MOST_HEAD: usize = 16 * 1024;
-const MOST_BODY: usize = 1 << 20;
+/// The largest head, and the largest body, bytes.
+const MAX_HEAD: usize = 16 * 1024;
+const MAX_BODY: usize = 1 << 20;
 
 /// A request or a response.
 #[derive(Debug, Default)]
@@ -32,58 +32,58 @@
     }
 }
 
-/// A connection with what came ahead on it.
-pub struct Wire<S = TcpStream> {
+/// A connection with the bytes that were read from it and belong to no message yet.
+pub struct HttpConnection<S = TcpStream> {
     stream: S,
-    ahead: Vec<u8>,
+    buffered: Vec<u8>,
 }
 
 fn malformed<T>(what: &str) -> io::Result<T> {
     Err(io::Error::new(io::ErrorKind::InvalidData, what.to_owned()))
 }
 
-impl Wire {
+impl HttpConnection {
     /// A connection on which nothing came yet.
-    pub fn new(stream: TcpStream) -> Wire {
+    pub fn new(stream: TcpStream) -> HttpConnection {
         let _ = stream.set_nodelay(true);
-        Wire::over(stream)
+        HttpConnection::over(stream)
     }
 }
 
-impl<S: AsyncRead + AsyncWrite + Unpin> Wire<S> {
+impl<S: AsyncRead + AsyncWrite + Unpin> HttpConnection<S> {
     /// A connection over any stream; its socket options are the caller's.
-    pub fn over(stream: S) -> Wire<S> {
-        Wire { stream, ahead: Vec::new() }
+    pub fn over(stream: S) -> HttpConnection<S> {
+        HttpConnection { stream, buffered: Vec::new() }
     }
 
     /// The next message, or none at the end of the connection.
     pub async fn read(&mut self, response: bool) -> io::Result<Option<Message>> {
         loop {
-            if let Some((head, message, length)) = parse(&self.ahead, response)? {
-                if length > MOST_BODY {
+            if let Some((head, message, length)) = parse(&self.buffered, response)? {
+                if length > MAX_BODY {
                     return malformed("a body too large");
                 }
-                while self.ahead.len() < head + length {
-                    if self.stream.read_buf(&mut self.ahead).await? == 0 {
+                while self.buffered.len() < head + length {
+                    if self.stream.read_buf(&mut self.buffered).await? == 0 {
                         return malformed("a body cut off");
                     }
                 }
-                let rest = self.ahead.split_off(head + length);
-                let body = std::mem::replace(&mut self.ahead, rest).split_off(head);
+                let rest = self.buffered.split_off(head + length);
+                let body = std::mem::replace(&mut self.buffered, rest).split_off(head);
                 return Ok(Some(Message { body, ..message }));
             }
-            if self.ahead.len() > MOST_HEAD {
+            if self.buffered.len() > MAX_HEAD {
                 return malformed("a head too large");
             }
-            if self.stream.read_buf(&mut self.ahead).await? == 0 {
-                return if self.ahead.is_empty() { Ok(None) } else { malformed("a head cut off") };
+            if self.stream.read_buf(&mut self.buffered).await? == 0 {
+                return if self.buffered.is_empty() { Ok(None) } else { malformed("a head cut off") };
             }
         }
     }
 
     /// Waits until the other side closes, or sends what nobody asked for.
     pub async fn closed(&mut self) {
-        let _ = self.stream.read_buf(&mut self.ahead).await;
+        let _ = self.stream.read_buf(&mut self.buffered).await;
     }
 
     /// Writes a message.
--- a/crates/testbed/src/model/mod.rs
+++ b/crates/testbed/src/model/mod.rs
@@ -1,4 +1,6 @@
-//! The models that both drivers run: pure state machines, events and a time in, what follows out.
+//! Models of what a head works with, in whole numbers and without a clock: backends and a discovery server. The
+//! simulator runs them in virtual time, the test bed on sockets in real time.
 
-pub mod disk;
-pub mod registry;
+pub mod backend_parameters;
+pub mod discovery_server;
+pub mod simulated_backend;
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -164,63 +164,101 @@
         for (kind, what) in charts(folder, name, &results[0])? {
             text += &format!("![{what}]({name}-{kind}.svg)\n");
         }
-        for told in results[0]["told"].as_array().into_iter().flatten().filter_map(Value::as_str) {
-            text += &format!("\n- {told}");
+        for breach in results[0]["told"].as_array().into_iter().flatten().filter_map(Value::as_str) {
+            text += &format!("\n- {breach}");
         }
     }
     std::fs::write(folder.join("README.md"), format!("{}\n", text.trim_end()))?;
     Ok(text)
 }
 
-/// The charts of one result; what each shows.
+/// One chart of a result.
+struct ResultChart {
+    /// Its kind, in the name of its file.
+    kind: &'static str,
+    /// What it shows, as the text beside it says.
+    caption: &'static str,
+    title: &'static str,
+    axes: (&'static str, &'static str),
+    /// Whether the steps of the script are marked.
+    has_marks: bool,
+}
+
+const SERVICE: ResultChart = ResultChart {
+    kind: "service",
+    caption: "Service by second",
+    title: "service by second",
+    axes: ("s", "worth earned over worth due"),
+    has_marks: true,
+};
+const REJECTED: ResultChart = ResultChart {
+    kind: "refused",
+    caption: "Refused by second",
+    title: "refused by second",
+    axes: ("s", "requests"),
+    has_marks: true,
+};
+const BACKENDS: ResultChart = ResultChart {
+    kind: "boxes",
+    caption: "Attempts at each box",
+    title: "attempts at each box (the first 12)",
+    axes: ("s", "attempts a second"),
+    has_marks: true,
+};
+const LATENCY: ResultChart = ResultChart {
+    kind: "latency",
+    caption: "Latency percentiles",
+    title: "latency from when a request was due",
+    axes: ("percentile", "ms"),
+    has_marks: false,
+};
+/// The most backends that a chart shows.
+const MAX_CHARTED_BACKENDS: usize = 12;
+
+/// Draws the charts of one result; the kind and the caption of each.
 fn charts(
     folder: &Path,
     name: &str,
     result: &Value,
 ) -> Result<Vec<(&'static str, &'static str)>, Box<dyn Error>> {
-    let marks: Vec<(f64, String)> = result["marks"]
-        .as_array()
-        .into_iter()
-        .flatten()
-        .filter_map(|mark| Some((mark[0].as_f64()?, mark[1].as_str()?.to_owned())))
-        .collect();
-    let draw = |kind: &str, title: &str, unit: &str, top: f64, all: &[Line]| {
-        let title = format!("{name}: {title}");
-        let chart = Chart { title: &title, axes: ("s", unit), marks: &marks, top };
-        lines(&folder.join(format!("{name}-{kind}.svg")), &chart, all)
-    };
-    let service = over_seconds(numbers(&result["seconds"]));
-    draw("service", "service by second", "worth earned over worth due", 1.0, &[("service".into(), service)])?;
-    let refused = over_seconds(numbers(&result["refused"]));
-    draw("refused", "refused by second", "requests", 1.0, &[("refused".into(), refused)])?;
-    let boxes: Vec<Line> = result["boxes"]
-        .as_array()
-        .into_iter()
-        .flatten()
-        .take(12)
-        .enumerate()
-        .map(|(slot, seconds)| (format!("box {slot}"), over_seconds(numbers(seconds))))
-        .collect();
-    draw("boxes", "attempts at each box (the first 12)", "attempts a second", 1.0, &boxes)?;
+    let all_marks = script_marks(result);
+    let service = vec![("service".into(), over_seconds(numbers(&result["seconds"])))];
+    let rejected = vec![("refused".into(), over_seconds(numbers(&result["refused"])))];
+    let charts = [
+        (SERVICE, service),
+        (REJECTED, rejected),
+        (BACKENDS, backend_lines(result)),
+        (LATENCY, latency_lines(result)),
+    ];
+    let mut drawn = Vec::new();
+    for (chart, all) in charts {
+        let title = format!("{name}: {}", chart.title);
+        let marks = if chart.has_marks { all_marks.as_slice() } else { &[] };
+        let path = folder.join(format!("{name}-{}.svg", chart.kind));
+        lines(&path, &Chart { title: &title, axes: chart.axes, marks, top: 1.0 }, &all)?;
+        drawn.push((chart.kind, chart.caption));
+    }
+    Ok(drawn)
+}
+
+/// The steps of the script, by their times in seconds.
+fn script_marks(result: &Value) -> Vec<(f64, String)> {
+    let marks = result["marks"].as_array().into_iter().flatten();
+    marks.filter_map(|mark| Some((mark[0].as_f64()?, mark[1].as_str()?.to_owned()))).collect()
+}
+
+fn backend_lines(result: &Value) -> Vec<Line> {
+    let backends = result["boxes"].as_array().into_iter().flatten().take(MAX_CHARTED_BACKENDS).enumerate();
+    backends.map(|(i, seconds)| (format!("box {i}"), over_seconds(numbers(seconds)))).collect()
+}
+
+fn latency_lines(result: &Value) -> Vec<Line> {
     let quantiles =
         [("p50_ms", 50.0), ("p90_ms", 90.0), ("p99_ms", 99.0), ("p999_ms", 99.9), ("max_ms", 100.0)];
-    let latency: Vec<Line> = result["latency"]
-        .as_object()
-        .into_iter()
-        .flatten()
-        .map(|(class, all)| {
-            let points =
-                quantiles.iter().filter_map(|(key, quantile)| Some((*quantile, all[*key].as_f64()?)));
-            (class.clone(), points.collect())
-        })
-        .collect();
-    let title = format!("{name}: latency from when a request was due");
-    let chart = Chart { title: &title, axes: ("percentile", "ms"), marks: &[], top: 1.0 };
-    lines(&folder.join(format!("{name}-latency.svg")), &chart, &latency)?;
-    Ok(vec![
-        ("service", "Service by second"),
-        ("refused", "Refused by second"),
-        ("boxes", "Attempts at each box"),
-        ("latency", "Latency percentiles"),
-    ])
+    let classes = result["latency"].as_object().into_iter().flatten();
+    let line = |(class, all): (&String, &Value)| {
+        let points = quantiles.iter().filter_map(|(key, quantile)| Some((*quantile, all[*key].as_f64()?)));
+        (class.clone(), points.collect())
+    };
+    classes.map(line).collect()
 }
--- a/crates/testbed/src/scale/budget.rs
+++ b/crates/testbed/src/scale/budget.rs
@@ -2,8 +2,8 @@
 
 use super::arguments::{ScalePlan, VOTERS};
 use super::error::ScaleError;
-use super::process::{Limits, Memory, Plan, descendants, memory_bytes};
 use super::scale_fleet::hosts_of;
+use crate::process::{Limits, Memory, Plan, descendants, memory_bytes};
 
 const KIB: u64 = 1 << 10;
 const MIB: u64 = 1 << 20;
--- a/crates/testbed/src/scale/changes.rs
+++ b/crates/testbed/src/scale/changes.rs
@@ -3,7 +3,7 @@
 use super::boot_clock::now_us;
 use super::error::ScaleError;
 use super::stop::StopRequest;
-use crate::fleet::harness::Caller;
+use crate::cluster_processes::admin_client::AdminClient;
 use std::time::{Duration, Instant};
 
 /// The tenant whose exports are changed.
@@ -27,7 +27,7 @@
 /// Makes changes, one after the other.
 pub struct ChangeMaker {
     /// A caller of each voter.
-    voters: Vec<Caller>,
+    voters: Vec<AdminClient>,
     /// The voter that settled the last change.
     current: usize,
     made: u64,
@@ -37,7 +37,7 @@
 
 impl ChangeMaker {
     /// Makes changes at these voters.
-    pub fn new(voters: Vec<Caller>) -> ChangeMaker {
+    pub fn new(voters: Vec<AdminClient>) -> ChangeMaker {
         ChangeMaker { voters, current: 0, made: 0, run: now_us() }
     }
 
--- a/crates/testbed/src/scale/data_path/backends.rs
+++ b/crates/testbed/src/scale/data_path/backends.rs
@@ -1,7 +1,7 @@
 //! Backends that answer every request at once, many in a process: each has a port of its own.
 
 use super::super::json_lines::{Conversation, ConversationError, print_line, read_lines};
-use crate::sockets::http::Wire;
+use crate::http::HttpConnection;
 use serde::{Deserialize, Serialize};
 use std::cell::Cell;
 use std::io;
@@ -123,7 +123,7 @@
 }
 
 async fn serve(stream: TcpStream) -> io::Result<()> {
-    let mut wire = Wire::new(stream);
+    let mut wire = HttpConnection::new(stream);
     while let Some(request) = wire.read(false).await? {
         match request.header("Request-Id") {
             Some(id) => wire.answer("200 OK", "", id).await?,
--- a/crates/testbed/src/scale/data_path/clients.rs
+++ b/crates/testbed/src/scale/data_path/clients.rs
@@ -1,9 +1,9 @@
 //! Clients in a closed loop: each keeps one connection to the head and has one request out at a time, at a backend
 //! drawn anew for each.
 
-use crate::draw::source;
+use crate::http::HttpConnection;
+use crate::random::source;
 use crate::scale::error::ScaleError;
-use crate::sockets::http::Wire;
 use hdrhistogram::Histogram;
 use rand_chacha::rand_core::Rng;
 use std::cell::RefCell;
@@ -17,8 +17,8 @@
 use tokio::net::TcpStream;
 use tokio::task::LocalSet;
 
-/// What a client waits for an answer, ms, as it tells the head.
-const PATIENCE_MS: u64 = 2_000;
+/// The deadline of a request, ms.
+const DEADLINE_MS: u64 = 2_000;
 /// Rest after a request that was not served, so that refusals are no busy loop.
 const REFUSED_REST: Duration = Duration::from_millis(5);
 /// The longest time that is told from others, us.
@@ -55,11 +55,16 @@
 
 impl Traffic {
     /// Sends a request for a cell, whose number is new with each, and waits for its answer.
-    pub(super) async fn ask(&self, wire: &mut Wire, number: u64, cell: usize) -> io::Result<Answer> {
+    pub(super) async fn request(
+        &self,
+        wire: &mut HttpConnection,
+        number: u64,
+        cell: usize,
+    ) -> io::Result<Answer> {
         let (class, plan, volume) = (&self.class, &self.plan, number % VOLUMES + 1);
         let text = format!(
             "GET /{class}/a HTTP/1.1\r\nHost: h\r\nRequest-Id: {number:016x}\r\nX-Qos-Policy: {plan}\r\n\
-             X-Chunk: {number:016x}\r\nRequest-Timeout-Ms: {PATIENCE_MS}\r\n\
+             X-Chunk: {number:016x}\r\nRequest-Timeout-Ms: {DEADLINE_MS}\r\n\
              X-Placement: volume={volume:016x},units=1,shard={cell},hosts=1\r\n\r\n"
         );
         wire.write(text.as_bytes()).await?;
@@ -144,10 +149,10 @@
             let cell = ((u64::from(random.next_u32()) * self.traffic.cells as u64) >> 32) as usize;
             let mut open = match wire.take() {
                 Some(open) => open,
-                None => Wire::new(TcpStream::connect(self.traffic.head).await?),
+                None => HttpConnection::new(TcpStream::connect(self.traffic.head).await?),
             };
             let begun = Instant::now();
-            let answer = self.traffic.ask(&mut open, number, cell).await;
+            let answer = self.traffic.request(&mut open, number, cell).await;
             self.count(&answer, begun.elapsed());
             match answer {
                 Ok(Answer::Served) => wire = Some(open),
@@ -161,13 +166,13 @@
         Ok(())
     }
 
-    fn count(&self, answer: &io::Result<Answer>, took: Duration) {
+    fn count(&self, answer: &io::Result<Answer>, latency: Duration) {
         if self.stage.load(Ordering::Relaxed) != MEASURING {
             return;
         }
         let mut window = self.window.borrow_mut();
         match answer {
-            Ok(Answer::Served) => window.times.saturating_record(took.as_micros() as u64),
+            Ok(Answer::Served) => window.times.saturating_record(latency.as_micros() as u64),
             Ok(Answer::NotServed) | Err(_) => window.not_served += 1,
         }
     }
--- a/crates/testbed/src/scale/data_path/head.rs
+++ b/crates/testbed/src/scale/data_path/head.rs
@@ -1,12 +1,12 @@
 //! The head that is measured: a process of the program `sedgerun-testbed serve`.
 
 use super::clients::{Answer, Traffic};
-use crate::draw::Drawn;
+use crate::drawn_scenario::DrawnScenario;
+use crate::http::HttpConnection;
+use crate::process::ChildGuard;
 use crate::scale::error::ScaleError;
-use crate::scale::process::ChildGuard;
 use crate::scale::stop::StopRequest;
 use crate::scenario::Scenario;
-use crate::sockets::http::Wire;
 use serde_json::json;
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
@@ -21,7 +21,7 @@
 const READY_RETRY: Duration = Duration::from_millis(50);
 /// Memory that the head may take, MiB, as its configuration says.
 const MEMORY_MB: u64 = 192;
-/// The scenario whose settings the head gets. Backends of a rehearsal are not played.
+/// The scenario whose settings the head gets. Its backends are not played.
 const SCENARIO: &str = "(scenario data-path (seconds 1) (heads 1) (boxes 1))";
 
 /// The program of the head.
@@ -72,13 +72,13 @@
         sockets: usize,
     ) -> Result<HeadProcess, ScaleError> {
         let scenario = Scenario::read(SCENARIO).map_err(failed)?;
-        let drawn = Drawn::new(&scenario, 1).map_err(failed)?;
-        let class = scenario.classes.iter().find(|class| class.repeat);
+        let drawn = DrawnScenario::draw(&scenario, 1).map_err(failed)?;
+        let class = scenario.classes.iter().find(|class| class.is_idempotent);
         let class = class.ok_or_else(|| failed("no class that reads"))?.name.clone();
         let plan = scenario.plans.first().ok_or_else(|| failed("no plan"))?.name.clone();
         let address = free_address().map_err(failed)?;
         let config = json!({"name": "data-path", "listen": address.to_string(),
-            "discovery": discovery.to_string(), "seed": "1", "settings": drawn.json,
+            "discovery": discovery.to_string(), "seed": "1", "settings": drawn.platform_settings,
             "limits": {"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": sockets}});
         let folder = std::env::temp_dir().join(format!("sedgerun-data-path-{}", std::process::id()));
         std::fs::create_dir_all(&folder).map_err(failed)?;
@@ -106,7 +106,7 @@
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(failed)?;
         let traffic = self.traffic(backends);
         let begun = Instant::now();
-        while !matches!(runtime.block_on(ask_last(&traffic)), Ok(Answer::Served)) {
+        while !matches!(runtime.block_on(request_last_cell(&traffic)), Ok(Answer::Served)) {
             if begun.elapsed() > READY_WITHIN {
                 let log = std::fs::read_to_string(self.folder.join("log")).unwrap_or_default();
                 let last = log.lines().last().unwrap_or("it says nothing");
@@ -124,9 +124,9 @@
 }
 
 /// Asks once, on a connection of its own, at the last backend.
-async fn ask_last(traffic: &Traffic) -> io::Result<Answer> {
-    let mut wire = Wire::new(TcpStream::connect(traffic.head).await?);
-    traffic.ask(&mut wire, u64::MAX, traffic.cells - 1).await
+async fn request_last_cell(traffic: &Traffic) -> io::Result<Answer> {
+    let mut wire = HttpConnection::new(TcpStream::connect(traffic.head).await?);
+    traffic.request(&mut wire, u64::MAX, traffic.cells - 1).await
 }
 
 impl Drop for HeadProcess {
--- a/crates/testbed/src/scale/data_path/mod.rs
+++ b/crates/testbed/src/scale/data_path/mod.rs
@@ -10,9 +10,9 @@
 
 use super::discovery::DiscoveryProcess;
 use super::error::ScaleError;
-use super::process::{Limits, Plan, Usage};
 use super::results::{DataPath, Latency};
 use super::stop::StopRequest;
+use crate::process::{Limits, Plan, Usage};
 use backends::Backends;
 use clients::{Clients, Window};
 use head::HeadProcess;
--- a/crates/testbed/src/scale/discovery/server.rs
+++ b/crates/testbed/src/scale/discovery/server.rs
@@ -2,7 +2,7 @@
 
 use super::catalog::Catalog;
 use super::traffic::{Admitted, Peers, Report};
-use crate::sockets::http::Wire;
+use crate::http::HttpConnection;
 use bytes::{Buf, Bytes};
 use sedgerun_cluster::traffic::Counted;
 use std::cell::{Cell, RefCell};
@@ -197,7 +197,7 @@
     async fn serve(&self, stream: TcpStream, admitted: &Admitted) -> io::Result<()> {
         stream.set_nodelay(true)?;
         let traffic = &admitted.traffic;
-        let mut wire = Wire::over(Counted::new(stream, Arc::clone(traffic)));
+        let mut wire = HttpConnection::over(Counted::new(stream, Arc::clone(traffic)));
         while let Some(request) = wire.read(false).await? {
             traffic.add_message_received();
             self.calls.set(self.calls.get() + 1);
@@ -221,8 +221,8 @@
         let mut state = self.state.subscribe();
         if let Some(since) = call.since {
             let _watch = OpenWatch::new(&self.open_watches);
-            let news = state.wait_for(|state| state.down || state.generation != since);
-            let _ = tokio::time::timeout(call.wait, news).await;
+            let changed = state.wait_for(|state| state.down || state.generation != since);
+            let _ = tokio::time::timeout(call.wait, changed).await;
         }
         if state.borrow().down {
             return Answer::Unavailable;
@@ -233,7 +233,7 @@
     }
 }
 
-async fn write(wire: &mut Wire<Counted<TcpStream>>, answer: Answer) -> io::Result<()> {
+async fn write(wire: &mut HttpConnection<Counted<TcpStream>>, answer: Answer) -> io::Result<()> {
     match answer {
         Answer::List(body) => {
             let head = format!(
--- a/crates/testbed/src/scale/faults.rs
+++ b/crates/testbed/src/scale/faults.rs
@@ -26,7 +26,7 @@
 /// a long poll after the cut began, and the look at it takes time.
 const AGE_SLACK: Duration = Duration::from_millis(2500);
 /// Between looks at whether a change is in force.
-const LOOK: Duration = Duration::from_millis(100);
+const POLL_EVERY: Duration = Duration::from_millis(100);
 /// The zone that is lost.
 const LOST_ZONE: u8 = 8;
 
@@ -135,7 +135,7 @@
 fn cut_region(fleet: &mut ScaleFleet, record: &mut Fault) -> Result<(), ScaleError> {
     let is_cut = |host: &HostProcess| host.region == REGIONS;
     record.struck = heads_where(fleet, is_cut);
-    let held = fleet.version;
+    let version_before = fleet.version;
     tell_all(fleet.hosts.iter_mut().filter(|host| is_cut(host)), HostCommand::Cut)?;
     let cut = Instant::now();
     let settled = settle_again(fleet, record)?;
@@ -143,21 +143,27 @@
     fleet.stop.pause_until(cut + LASTS)?;
     let reports = reports(fleet.hosts.iter_mut().filter(|host| is_cut(host)))?;
     let reports: Vec<HeadReport> = reports.into_iter().flatten().collect();
-    check_cut_heads(record, &reports, held, settled.version, cut.elapsed());
+    check_cut_heads(record, &reports, version_before, settled.version, cut.elapsed());
     tell_all(fleet.hosts.iter_mut().filter(|host| is_cut(host)), HostCommand::Heal)?;
     let settled = fleet.change()?;
     check_in_force(fleet, record, settled, |_| true)
 }
 
 /// A head that is cut off serves what it held, holds nothing newer, and says how old it is.
-fn check_cut_heads(record: &mut Fault, reports: &[HeadReport], held: u64, newer: u64, lasted: Duration) {
+fn check_cut_heads(
+    record: &mut Fault,
+    reports: &[HeadReport],
+    version_before: u64,
+    newer: u64,
+    lasted: Duration,
+) {
     let wrong = |holds: &dyn Fn(&HeadReport) -> bool| reports.iter().filter(|report| !holds(report)).count();
     let mut failed = |count: usize, what: &str| {
         if count > 0 {
             record.failures.push(format!("{count} of {} cut heads {what}", reports.len()));
         }
     };
-    failed(wrong(&|report| report.version >= held), "lost what they held");
+    failed(wrong(&|report| report.version >= version_before), "lost what they held");
     failed(wrong(&|report| report.version < newer), "heard of a change from outside");
     failed(wrong(&|report| report.backends == record.backends), "lost their list of backends");
     let least_age = lasted.saturating_sub(AGE_SLACK).as_millis() as u64;
@@ -174,7 +180,7 @@
     fleet.harness.kill(leader);
     let settled = settle_again(fleet, record)?;
     check_in_force(fleet, record, settled, |_| true)?;
-    fleet.harness.start(leader).map_err(ScaleError::Failed)
+    fleet.harness.start(leader).map_err(|error| ScaleError::Failed(error.to_string()))
 }
 
 /// Takes a backend off discovery's list, and puts another in its place once all heads have heard of that. The time
@@ -189,20 +195,21 @@
     // The list is as long after as before: a head that was not seen without the first may have heard of neither.
     for length in [backends - 1, backends] {
         fleet.set_backends(length)?;
-        let late = wait_for_list_at_real_heads(fleet, begun + GIVE_UP)?;
-        if late > 0 {
+        let overdue = wait_for_list_at_real_heads(fleet, begun + GIVE_UP)?;
+        if overdue > 0 {
             let seconds = GIVE_UP.as_secs();
-            let what = format!("{late} real heads do not hold a list of {length} backends after {seconds} s");
+            let what =
+                format!("{overdue} real heads do not hold a list of {length} backends after {seconds} s");
             record.failures.push(what);
         }
     }
     if !record.failures.is_empty() {
         return Ok(());
     }
-    let took = begun.elapsed();
-    record.in_force_ms = Some(took.as_secs_f64() * 1000.0);
-    if took > PRIMARY_TIME {
-        record.failures.push(format!("all heads knew the new backend after {:.1} s", took.as_secs_f64()));
+    let elapsed = begun.elapsed();
+    record.in_force_ms = Some(elapsed.as_secs_f64() * 1000.0);
+    if elapsed > PRIMARY_TIME {
+        record.failures.push(format!("all heads knew the new backend after {:.1} s", elapsed.as_secs_f64()));
     }
     Ok(())
 }
@@ -212,11 +219,11 @@
     let holds =
         |head: &usize| fleet.real_report(*head).is_some_and(|report| report.backends == fleet.backends);
     loop {
-        let late = fleet.harness.up().iter().filter(|head| !holds(head)).count();
-        if late == 0 || Instant::now() > until {
-            return Ok(late);
+        let overdue = fleet.harness.up().iter().filter(|head| !holds(head)).count();
+        if overdue == 0 || Instant::now() > until {
+            return Ok(overdue);
         }
-        fleet.stop.pause(LOOK)?;
+        fleet.stop.pause(POLL_EVERY)?;
     }
 }
 
@@ -273,10 +280,10 @@
 fn settle_again(fleet: &mut ScaleFleet, record: &mut Fault) -> Result<Settled, ScaleError> {
     let begun = Instant::now();
     let settled = fleet.change()?;
-    let took = begun.elapsed();
-    record.settled_again_ms = Some(took.as_secs_f64() * 1000.0);
-    if took > PRIMARY_TIME {
-        record.failures.push(format!("the next change was settled after {:.1} s", took.as_secs_f64()));
+    let elapsed = begun.elapsed();
+    record.settled_again_ms = Some(elapsed.as_secs_f64() * 1000.0);
+    if elapsed > PRIMARY_TIME {
+        record.failures.push(format!("the next change was settled after {:.1} s", elapsed.as_secs_f64()));
     }
     Ok(settled)
 }
@@ -291,24 +298,24 @@
 ) -> Result<(), ScaleError> {
     let real: Vec<usize> = fleet.harness.up();
     let watches: Vec<VersionWatch> =
-        real.iter().map(|head| VersionWatch::start(fleet.harness.caller(*head))).collect();
+        real.iter().map(|head| VersionWatch::start(fleet.harness.admin_client(*head))).collect();
     watches.iter().for_each(|watch| watch.expect(settled.version));
     let hollow = wait_for_hollow(fleet, settled.version, reachable)?;
     let reached: Vec<u64> = watches.into_iter().flat_map(VersionWatch::end).map(|(_, at)| at).collect();
-    let late = hollow.missing + (real.len() - reached.len()) as u64;
-    if late > 0 {
+    let overdue = hollow.missing + (real.len() - reached.len()) as u64;
+    if overdue > 0 {
         let seconds = GIVE_UP.as_secs();
         record
             .failures
-            .push(format!("a change was not in force at {late} heads {seconds} s after it was settled"));
+            .push(format!("a change was not in force at {overdue} heads {seconds} s after it was settled"));
         return Ok(());
     }
     let last = reached.into_iter().chain([hollow.last_us]).max().unwrap_or(settled.at_us);
-    let took_ms = last.saturating_sub(settled.at_us) as f64 / 1000.0;
-    if took_ms > IN_FORCE_TIME.as_secs_f64() * 1000.0 {
-        record.failures.push(format!("a change was in force after {took_ms:.0} ms"));
+    let elapsed_ms = last.saturating_sub(settled.at_us) as f64 / 1000.0;
+    if elapsed_ms > IN_FORCE_TIME.as_secs_f64() * 1000.0 {
+        record.failures.push(format!("a change was in force after {elapsed_ms:.0} ms"));
     }
-    record.in_force_ms = Some(record.in_force_ms.unwrap_or(0.0).max(took_ms));
+    record.in_force_ms = Some(record.in_force_ms.unwrap_or(0.0).max(elapsed_ms));
     Ok(())
 }
 
@@ -335,6 +342,6 @@
         if missing == 0 || begun.elapsed() > GIVE_UP {
             return Ok(HollowReach { missing, last_us: times.into_iter().max().unwrap_or(0) });
         }
-        fleet.stop.pause(LOOK)?;
+        fleet.stop.pause(POLL_EVERY)?;
     }
 }
--- a/crates/testbed/src/scale/hollow.rs
+++ b/crates/testbed/src/scale/hollow.rs
@@ -15,13 +15,16 @@
 use sedgerun_cluster::disk::open_in_simulator;
 use sedgerun_cluster::node::{Node, NodeSetup};
 use sedgerun_cluster::settings::{DEFAULT_SOCKETS, Settings};
+use sedgerun_config::Faults;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
+use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
+use thiserror::Error;
 use tokio::net::TcpListener;
 use tokio::runtime::Handle;
 use tokio::sync::watch;
@@ -49,6 +52,26 @@
     pub reached: ReachedTimes,
 }
 
+/// Why a hollow head does not start.
+#[derive(Debug, Error)]
+pub enum HollowHeadError {
+    /// Its listener cannot be used.
+    #[error("{0}")]
+    Listener(#[from] io::Error),
+    /// Its configuration is not valid.
+    #[error("{0}")]
+    Config(Faults),
+    /// The cluster's own reason.
+    #[error("{0}")]
+    Cluster(String),
+}
+
+impl HollowHeadError {
+    fn cluster(reason: impl ToString) -> HollowHeadError {
+        HollowHeadError::Cluster(reason.to_string())
+    }
+}
+
 /// One hollow head.
 pub struct HollowHead {
     name: String,
@@ -103,16 +126,18 @@
     }
 
     /// Starts it with what its disk holds.
-    pub async fn start(self: Rc<Self>, ready_when: ReadyWhen) -> Result<(), String> {
+    pub async fn start(self: Rc<Self>, ready_when: ReadyWhen) -> Result<(), HollowHeadError> {
         let started_us = now_us();
         self.ready.set(None);
         self.sampled_bytes.set(0);
-        let listener = self.surroundings.network.listen().map_err(|error| error.to_string())?;
-        let address = listener.local_addr().map_err(|error| error.to_string())?;
-        let (disk, held) = open_in_simulator(self.disk.open(), || SYNC_TIME)?;
+        let listener = self.surroundings.network.listen()?;
+        let address = listener.local_addr()?;
+        let (disk, held) =
+            open_in_simulator(self.disk.open(), || SYNC_TIME).map_err(HollowHeadError::cluster)?;
         let dial = Arc::new(self.surroundings.network.clone());
         let (settings, head) = (self.settings(address), self.name.clone());
-        let node = Node::start(NodeSetup { settings, head, address, disk, held, dial }).await?;
+        let setup = NodeSetup { settings, head, address, disk, held, dial };
+        let node = Node::start(setup).await.map_err(HollowHeadError::cluster)?;
         let fleet = Rc::new(ClusterHandle::of(&node));
         let mut config = self.config()?;
         let known = config.known.take();
@@ -159,26 +184,26 @@
         }
     }
 
-    fn config(&self) -> Result<Config, String> {
+    fn config(&self) -> Result<Config, HollowHeadError> {
         let file = self.surroundings.spec.config.display().to_string();
         let read = Sources { config: file, operator: None }.read();
-        let config = read.map_err(|faults| faults.to_string())?;
+        let config = read.map_err(HollowHeadError::Config)?;
         Ok(Config { name: self.name.clone(), seed: self.seed, ..config })
     }
 
     /// Notes when it comes to act on versions, once it is ready: what it lacks at its start is not late.
     async fn watch_versions(self: Rc<Self>, fleet: Rc<ClusterHandle>) {
         let mut versions = fleet.in_force();
-        let mut held = *versions.borrow_and_update();
+        let mut last = *versions.borrow_and_update();
         while versions.changed().await.is_ok() {
             let version = *versions.borrow_and_update();
             if self.ready.get().is_some() {
                 let (now, mut reached) = (now_us(), self.surroundings.reached.borrow_mut());
-                for version in held + 1..=version {
+                for version in last + 1..=version {
                     reached.entry(version).or_default().push(now);
                 }
             }
-            held = version;
+            last = version;
         }
     }
 
--- a/crates/testbed/src/scale/host.rs
+++ b/crates/testbed/src/scale/host.rs
@@ -116,8 +116,8 @@
             let host = Rc::clone(self);
             spawn_local(async move {
                 tokio::time::sleep(wait).await;
-                if let Err(what) = head.start(ready_when).await {
-                    host.failure.replace(Some(what));
+                if let Err(error) = head.start(ready_when).await {
+                    host.failure.replace(Some(error.to_string()));
                 }
             });
         }
--- a/crates/testbed/src/scale/host_process.rs
+++ b/crates/testbed/src/scale/host_process.rs
@@ -1,8 +1,8 @@
 //! The orchestrator's end of a process of hollow heads.
 
 use super::error::ScaleError;
-use super::process::ChildGuard;
 use super::protocol::{HeadReport, HostAnswer, HostCommand, HostSpec};
+use crate::process::ChildGuard;
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Write};
 use std::path::Path;
@@ -95,12 +95,12 @@
     hosts: impl IntoIterator<Item = &'a mut HostProcess>,
     command: HostCommand,
 ) -> Result<Vec<HostAnswer>, ScaleError> {
-    let mut told = Vec::new();
+    let mut commanded = Vec::new();
     for host in hosts {
         host.tell(command)?;
-        told.push(host);
+        commanded.push(host);
     }
-    told.into_iter().map(HostProcess::answer).collect()
+    commanded.into_iter().map(HostProcess::answer).collect()
 }
 
 /// How the heads of these hosts stand, host by host.
--- a/crates/testbed/src/scale/json_lines.rs
+++ b/crates/testbed/src/scale/json_lines.rs
@@ -1,6 +1,6 @@
 //! Conversations with processes of a measurement: one JSON value a line, each command answered by one reply.
 
-use super::process::ChildGuard;
+use crate::process::ChildGuard;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use std::fmt;
--- a/crates/testbed/src/scale/measure.rs
+++ b/crates/testbed/src/scale/measure.rs
@@ -2,9 +2,9 @@
 
 use super::arguments::VOTERS;
 use super::error::ScaleError;
-use super::process::Usage;
 use super::results::{Cost, Role, Spread};
 use super::scale_fleet::ScaleFleet;
+use crate::process::Usage;
 use sedgerun_cluster::traffic::TrafficTotals;
 use std::collections::BTreeMap;
 use std::time::Instant;
--- a/crates/testbed/src/scale/mod.rs
+++ b/crates/testbed/src/scale/mod.rs
@@ -22,7 +22,6 @@
 mod network;
 pub mod orchestrator;
 pub mod output;
-pub mod process;
 mod progress;
 pub mod protocol;
 pub mod real_heads;
--- a/crates/testbed/src/scale/output.rs
+++ b/crates/testbed/src/scale/output.rs
@@ -1,8 +1,8 @@
 //! The file of a run's results, and what it says of the machine and the program.
 
 use super::error::ScaleError;
-use super::process::Memory;
 use super::results::{FORMAT, Machine, ScaleResults};
+use crate::process::Memory;
 use std::io::Write;
 use std::path::{Path, PathBuf};
 use std::process::Command;
--- a/crates/testbed/src/scale/real_heads.rs
+++ b/crates/testbed/src/scale/real_heads.rs
@@ -2,7 +2,7 @@
 
 use super::boot_clock::now_us;
 use super::changes::TENANT;
-use crate::fleet::harness::Caller;
+use crate::cluster_processes::admin_client::AdminClient;
 use sedgerun_cluster::traffic::TrafficTotals;
 use std::collections::BTreeMap;
 use std::io::{self, Read, Write};
@@ -85,7 +85,7 @@
 
 impl VersionWatch {
     /// Watches the head behind a caller.
-    pub fn start(mut caller: Caller) -> VersionWatch {
+    pub fn start(mut caller: AdminClient) -> VersionWatch {
         let (versions, asked) = channel();
         let thread = std::thread::spawn(move || {
             let mut reached = Vec::new();
@@ -114,7 +114,7 @@
     }
 }
 
-fn wait_for_version(caller: &mut Caller, version: u64) -> bool {
+fn wait_for_version(caller: &mut AdminClient, version: u64) -> bool {
     let begun = Instant::now();
     let request = format!("GET /v1/tenants/{TENANT}");
     let headers = format!("Fleet-At-Least: {version}\r\n");
--- a/crates/testbed/src/scale/scale_fleet.rs
+++ b/crates/testbed/src/scale/scale_fleet.rs
@@ -10,7 +10,7 @@
 use super::protocol::{HeadReport, HostAnswer, HostCommand, HostSpec, ReadyWhen};
 use super::real_heads::RealHeadReport;
 use super::stop::StopRequest;
-use crate::fleet::harness::{Harness, HarnessLayout};
+use crate::cluster_processes::harness::{Harness, HarnessLayout};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
@@ -30,8 +30,8 @@
 pub const READY_TIME: Duration = Duration::from_secs(60);
 /// How long heads keep places for followers that have ended, and a little more.
 const PLACES_KEPT: Duration = Duration::from_secs(6);
-/// Between looks at how heads stand.
-const LOOK: Duration = Duration::from_millis(250);
+/// Time between checks of the heads.
+const POLL_EVERY: Duration = Duration::from_millis(250);
 
 /// The name of a region.
 pub fn region_name(region: u8) -> String {
@@ -77,8 +77,9 @@
             zones: ZONES.iter().map(|zone| (*zone).to_owned()).collect(),
             regions: (1..=ZONES.len() as u8).map(|zone| region_name(region(zone))).collect(),
         };
-        let harness = Harness::begin_with(program, &layout).map_err(ScaleError::Failed)?;
-        let callers = (0..VOTERS as usize).map(|voter| harness.caller(voter)).collect();
+        let harness =
+            Harness::begin_with(program, &layout).map_err(|error| ScaleError::Failed(error.to_string()))?;
+        let callers = (0..VOTERS as usize).map(|voter| harness.admin_client(voter)).collect();
         let mut fleet = ScaleFleet {
             changes: ChangeMaker::new(callers),
             harness,
@@ -116,7 +117,7 @@
 
     /// Starts a process without heads, in the next zone in turn.
     fn start_host(&mut self, number: u64, relay: bool) -> Result<(), ScaleError> {
-        let settings = self.harness.settings(0).map_err(ScaleError::Failed)?;
+        let settings = self.harness.settings(0).map_err(|error| ScaleError::Failed(error.to_string()))?;
         let zone = number as usize % ZONES.len();
         let zone_number = zone as u8 + 1;
         let (kind, seed_offset) = if relay { ("relay", RELAY_SEEDS) } else { ("hollow", 0) };
@@ -190,7 +191,7 @@
         let ready_when = self.ready_when();
         let hollow = self.plan.hollow_heads(heads);
         let hosts = hosts_of(&self.plan);
-        let mut told = Vec::new();
+        let mut commanded = Vec::new();
         let sharing = self.hosts.iter_mut().filter(|host| !host.is_relay);
         for (number, host) in (0..hosts).zip(sharing) {
             let share = hollow / hosts + u64::from(number < hollow % hosts);
@@ -198,10 +199,10 @@
             if count > 0 {
                 host.tell(HostCommand::Start { count, within_ms, ready_when })?;
                 host.heads += count;
-                told.push(host);
+                commanded.push(host);
             }
         }
-        told.into_iter().try_for_each(|host| host.answer().map(drop))?;
+        commanded.into_iter().try_for_each(|host| host.answer().map(drop))?;
         self.wait_until_ready()
     }
 
@@ -228,7 +229,7 @@
                 let seconds = within.as_secs();
                 return Err(ScaleError::Failed(format!("{what}: {holding} of {expected} after {seconds} s")));
             }
-            self.stop.pause(LOOK)?;
+            self.stop.pause(POLL_EVERY)?;
         }
     }
 
--- a/crates/testbed/src/scale/steady.rs
+++ b/crates/testbed/src/scale/steady.rs
@@ -34,7 +34,8 @@
     let stop = fleet.stop.clone();
     stop.pause(SETTLING)?;
     reached(&mut fleet.hosts)?;
-    let watches = fleet.harness.up().into_iter().map(|head| VersionWatch::start(fleet.harness.caller(head)));
+    let watches =
+        fleet.harness.up().into_iter().map(|head| VersionWatch::start(fleet.harness.admin_client(head)));
     let watches: Vec<VersionWatch> = watches.collect();
     let before = Snapshot::take(fleet)?;
     let begun = Instant::now();
--- a/crates/testbed/src/scale/stop.rs
+++ b/crates/testbed/src/scale/stop.rs
@@ -7,7 +7,7 @@
 use tokio::signal::unix::{SignalKind, signal};
 
 /// Between looks at the wish while a run waits for something.
-const LOOK: Duration = Duration::from_millis(20);
+const POLL_EVERY: Duration = Duration::from_millis(20);
 
 /// Whether the run is to stop.
 #[derive(Clone, Debug, Default)]
@@ -61,7 +61,7 @@
             if left.is_zero() {
                 return Ok(());
             }
-            std::thread::sleep(left.min(LOOK));
+            std::thread::sleep(left.min(POLL_EVERY));
         }
     }
 }
--- a/crates/testbed/src/sockets/clients.rs
+++ b/crates/testbed/src/sockets/clients.rs
@@ -1,14 +1,16 @@
-//! Clients on sockets: each request of the morning at its time, whatever became of those before it, over HTTP on
-//! kept connections or over 9P.
-
-use super::Stand;
-use super::heads::Heads;
-use super::http::Wire;
-use super::ninep::{self, Session};
-use crate::auditor::{Said, Ticket};
-use crate::draw::{Arrival, source, within};
-use crate::figures::{Fate, Outcome};
-use crate::scenario::Retry;
+//! The clients of a test run: each request at its time, whatever became of those before it, over HTTP on cached
+//! connections or over 9P.
+
+use super::heads::HeadProcesses;
+use super::ninep_client::{ClientAttemptEnd, FileOperation, Session};
+use super::ninep_files::{export_of, file_name, parse_file_name};
+use super::test_bed::TestBed;
+use crate::auditor::{AnswerKind, Ticket};
+use crate::drawn_scenario::types::Arrival;
+use crate::figures::{RequestRecord, RequestResult};
+use crate::http::{HttpConnection, Message};
+use crate::random::{source, within};
+use crate::scenario::{ClassSpec, RetryPolicy};
 use rand_chacha::ChaCha8Rng;
 use sedgerun_policy::Micros;
 use std::cell::RefCell;
@@ -18,195 +20,254 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// Time past a client's patience until it looks no more for the answer.
-const PAST: Duration = Duration::from_millis(8);
+/// Time past a client's deadline until it stops waiting for the answer.
+const DEADLINE_ALLOWANCE: Duration = Duration::from_millis(8);
+/// Purpose of the random source of the clients.
+const PURPOSE: u64 = 6;
+/// The body of a write.
+const WRITE_BODY: &str = "artwork";
+
+/// What a cached connection leads to.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+struct ConnectionKey {
+    head: usize,
+    incarnation: u32,
+    /// The export of a 9P session; empty for HTTP.
+    export: String,
+}
 
-/// Kept connections by head and its life.
-type Kept<T> = RefCell<HashMap<(usize, u32, String), Vec<T>>>;
+type CachedConnections<T> = RefCell<HashMap<ConnectionKey, Vec<T>>>;
 
-/// All clients.
+/// All clients of a test run.
 pub struct Clients {
-    stand: Rc<Stand>,
-    heads: Rc<Heads>,
-    http: Kept<Wire>,
-    ninep: Kept<Session>,
+    test_bed: Rc<TestBed>,
+    heads: Rc<HeadProcesses>,
+    http: CachedConnections<HttpConnection>,
+    ninep: CachedConnections<Session>,
     random: RefCell<ChaCha8Rng>,
 }
 
-/// How a try ended, and the wait that its answer advises.
-type Ended = (Fate, Option<Ticket>, Micros);
-
 impl Clients {
     /// Clients that have not begun.
-    pub fn new(stand: Rc<Stand>, heads: Rc<Heads>) -> Rc<Clients> {
-        let random = RefCell::new(source(stand.seed, 6));
-        Rc::new(Clients { stand, heads, http: Kept::default(), ninep: Kept::default(), random })
+    pub fn new(test_bed: Rc<TestBed>, heads: Rc<HeadProcesses>) -> Rc<Clients> {
+        let random = RefCell::new(source(test_bed.seed, PURPOSE));
+        let (http, ninep) = Default::default();
+        Rc::new(Clients { test_bed, heads, http, ninep, random })
     }
 
-    /// Plays all that is due.
+    /// Sends all requests at their times; returns when the last one is sent.
     pub async fn play(self: Rc<Self>) {
-        let stand = Rc::clone(&self.stand);
-        for (i, arrival) in stand.drawn.arrivals.iter().enumerate() {
-            stand.at(arrival.due).await;
-            tokio::task::spawn_local(Rc::clone(&self).ask(i as u32));
+        let test_bed = Rc::clone(&self.test_bed);
+        for (i, arrival) in test_bed.drawn.arrivals.iter().enumerate() {
+            test_bed.sleep_until(arrival.at).await;
+            tokio::task::spawn_local(Rc::clone(&self).request(i as u32));
         }
     }
 
-    async fn ask(self: Rc<Self>, index: u32) {
-        let stand = &self.stand;
-        let arrival = &stand.drawn.arrivals[index as usize];
-        let class = &stand.drawn.settings.classes[usize::from(arrival.class)];
-        let by = arrival.due + class.deadline;
-        let mut again = false;
-        let (fate, took) = loop {
-            let (fate, _, wait) = self.attempt(index, arrival, by).await;
-            let took = stand.now().saturating_sub(arrival.due);
-            let fate = if fate == Fate::InTime && took > class.latency_objective { Fate::Late } else { fate };
-            let served = matches!(fate, Fate::InTime | Fate::Late);
-            let safe = fate == Fate::Refused || stand.scenario.classes[usize::from(arrival.class)].repeat;
-            let pause = match stand.scenario.retry {
-                Retry::None => None,
-                Retry::AtOnce => Some(0),
-                Retry::Wait => {
-                    let own = within(&mut *self.random.borrow_mut(), stand.scenario.retry_ms) * 1e3;
-                    Some((own as Micros).max(wait))
-                }
-            };
-            let pause = pause.filter(|_| !served && !again && safe && fate != Fate::Silent);
-            match pause.filter(|pause| stand.now() + pause + class.latency_objective / 4 < by) {
-                Some(pause) => {
-                    again = true;
-                    stand.figures.borrow_mut().retries += 1;
-                    tokio::time::sleep(Duration::from_micros(pause)).await;
+    fn class_of(&self, arrival: &Arrival) -> &ClassSpec {
+        &self.test_bed.scenario.classes[usize::from(arrival.class)]
+    }
+
+    /// One request with its retry.
+    async fn request(self: Rc<Self>, index: u32) {
+        let test_bed = &self.test_bed;
+        let arrival = &test_bed.drawn.arrivals[index as usize];
+        let class = &test_bed.drawn.settings.classes[usize::from(arrival.class)];
+        let deadline = arrival.at + class.deadline;
+        let mut is_retry = false;
+        let (result, latency) = loop {
+            let end = self.attempt(index, arrival, deadline).await;
+            let latency = test_bed.now().saturating_sub(arrival.at);
+            let is_late = end.result == RequestResult::InTime && latency > class.latency_objective;
+            let result = if is_late { RequestResult::Late } else { end.result };
+            let wait = self.retry_wait(end.retry_after);
+            let wait = wait.filter(|_| !is_retry && self.may_retry(arrival, result));
+            match wait.filter(|wait| test_bed.now() + wait + class.latency_objective / 4 < deadline) {
+                Some(wait) => {
+                    is_retry = true;
+                    test_bed.figures.borrow_mut().retries += 1;
+                    tokio::time::sleep(Duration::from_micros(wait)).await;
                 }
-                None => break (fate, took),
+                None => break (result, latency),
             }
         };
-        let plan = stand.drawn.volumes[arrival.volume as usize].plan;
-        let (due, class, units) = (arrival.due, usize::from(arrival.class), arrival.units);
-        let outcome = Outcome { due, class, plan, units, fate, took };
-        stand.figures.borrow_mut().add(&stand.scenario, &outcome);
-        if let Some(shard) = stand.home(arrival.home) {
-            let served = fate == Fate::InTime;
-            stand.auditor.borrow_mut().used(due, arrival.volume, shard, f64::from(units), served);
+        self.record(arrival, result, latency);
+    }
+
+    fn may_retry(&self, arrival: &Arrival, result: RequestResult) -> bool {
+        match result {
+            RequestResult::InTime | RequestResult::Late | RequestResult::NoAnswer => false,
+            RequestResult::Rejected => true,
+            RequestResult::Failed | RequestResult::Lost => self.class_of(arrival).is_idempotent,
+        }
+    }
+
+    /// How long a client waits before a retry, us; none where it does not retry.
+    fn retry_wait(&self, retry_after: Micros) -> Option<Micros> {
+        let clients = &self.test_bed.scenario.clients;
+        match clients.retry {
+            RetryPolicy::None => None,
+            RetryPolicy::AtOnce => Some(0),
+            RetryPolicy::Wait => {
+                let own = within(&mut *self.random.borrow_mut(), clients.retry_ms) * 1e3;
+                Some((own as Micros).max(retry_after))
+            }
+        }
+    }
+
+    /// Counts a request at its end.
+    fn record(&self, arrival: &Arrival, result: RequestResult, latency: Micros) {
+        let test_bed = &self.test_bed;
+        let plan = test_bed.drawn.volumes[arrival.volume as usize].plan;
+        let (at, class, units) = (arrival.at, usize::from(arrival.class), arrival.units);
+        let record = RequestRecord { at, class, plan, units, result, latency };
+        test_bed.figures.borrow_mut().count_request(&test_bed.scenario, &record);
+        if let Some(shard) = test_bed.shard_of(arrival.placement) {
+            let in_time = result == RequestResult::InTime;
+            let mut auditor = test_bed.auditor.borrow_mut();
+            auditor.count_usage(at, arrival.volume, shard, f64::from(units), in_time);
         }
     }
 
-    /// One try; its end is noted with the auditor.
-    async fn attempt(&self, index: u32, arrival: &Arrival, by: Micros) -> Ended {
-        let stand = &self.stand;
-        let ticket = stand.ticket(index);
+    /// One attempt; its end is noted with the auditor.
+    async fn attempt(&self, index: u32, arrival: &Arrival, deadline: Micros) -> ClientAttemptEnd {
+        let test_bed = &self.test_bed;
+        let ticket = test_bed.new_ticket(index);
         let head = usize::from(arrival.head);
-        let life = self.heads.place(head).2;
-        let repeat = stand.scenario.classes[usize::from(arrival.class)].repeat;
-        let ninep = stand.drawn.volumes[arrival.volume as usize].ninep;
-        let asked = async {
-            if ninep {
+        let incarnation = self.heads.addresses(head).incarnation;
+        let sent = async {
+            if test_bed.drawn.volumes[arrival.volume as usize].speaks_ninep {
                 self.over_ninep(ticket, arrival).await
             } else {
-                self.over_http(ticket, arrival, by).await
+                self.over_http(ticket, arrival, deadline).await
             }
         };
-        stand.auditor.borrow_mut().taken(ticket, head, by, repeat);
-        let ended = tokio::time::timeout_at(stand.instant(by) + PAST, asked).await;
-        let mut auditor = stand.auditor.borrow_mut();
-        match ended {
-            Ok(Ok((fate, served, wait))) => {
-                let said = served.map_or(Said::Other, Said::Served);
-                auditor.answered(stand.now(), ticket, said);
-                (fate, served, wait)
+        let is_idempotent = self.class_of(arrival).is_idempotent;
+        test_bed.auditor.borrow_mut().request_accepted(ticket, head, deadline, is_idempotent);
+        let end = tokio::time::timeout_at(test_bed.instant(deadline) + DEADLINE_ALLOWANCE, sent).await;
+        let mut auditor = test_bed.auditor.borrow_mut();
+        match end {
+            Ok(Ok(end)) => {
+                let answer = end.served.map_or(AnswerKind::NotServed, AnswerKind::Served);
+                auditor.answered(test_bed.now(), ticket, answer);
+                end
             }
             Ok(Err(error)) => {
-                // A head that was killed, or is not there yet, owes no answer: it has not taken the request.
-                let refused = error.kind() == io::ErrorKind::ConnectionRefused;
-                if refused || self.heads.place(head).2 != life || life.is_multiple_of(2) {
-                    auditor.excused(ticket);
+                // A head that was killed, or is not there yet, owes no answer: it has not accepted the request.
+                let is_refused = error.kind() == io::ErrorKind::ConnectionRefused;
+                let is_other = self.heads.addresses(head).incarnation != incarnation;
+                if is_refused || is_other || incarnation.is_multiple_of(2) {
+                    auditor.excuse(ticket);
                 }
-                (Fate::Lost, None, 0)
+                ClientAttemptEnd::not_served(RequestResult::Lost)
             }
-            Err(_) => (Fate::Silent, None, 0),
+            Err(_) => ClientAttemptEnd::not_served(RequestResult::NoAnswer),
         }
     }
 
-    async fn over_http(&self, ticket: Ticket, arrival: &Arrival, by: Micros) -> io::Result<Ended> {
-        let stand = &self.stand;
-        let (address, _, life) = self.heads.place(usize::from(arrival.head));
-        let key = (usize::from(arrival.head), life, String::new());
-        let class = &stand.scenario.classes[usize::from(arrival.class)];
-        let volume = &stand.drawn.volumes[arrival.volume as usize];
-        let shard = stand.home(arrival.home).map_or("-1".to_owned(), |shard| shard.to_string());
-        let body = "artwork";
-        let (method, length) = if class.repeat {
-            ("GET", String::new())
-        } else {
-            ("PUT", format!("Content-Length: {}\r\n", body.len()))
-        };
-        let mut kept = self.http.borrow_mut().get_mut(&key).and_then(Vec::pop);
+    async fn over_http(
+        &self,
+        ticket: Ticket,
+        arrival: &Arrival,
+        deadline: Micros,
+    ) -> io::Result<ClientAttemptEnd> {
+        let head = usize::from(arrival.head);
+        let addresses = self.heads.addresses(head);
+        let key = ConnectionKey { head, incarnation: addresses.incarnation, export: String::new() };
+        let mut cached = self.http.borrow_mut().get_mut(&key).and_then(Vec::pop);
         loop {
-            let reused = kept.is_some();
-            let mut wire = match kept.take() {
-                Some(wire) => wire,
-                None => Wire::new(TcpStream::connect(address).await?),
+            let is_reused = cached.is_some();
+            let mut connection = match cached.take() {
+                Some(connection) => connection,
+                None => HttpConnection::new(TcpStream::connect(addresses.http).await?),
             };
-            let left = by.saturating_sub(stand.now()) / 1000;
-            let request = format!(
-                "{method} /{}/a HTTP/1.1\r\nHost: h\r\nRequest-Id: {ticket:016x}\r\nX-Qos-Policy: {}\r\n\
-                 X-Chunk: {:016x}\r\nRequest-Timeout-Ms: {left}\r\n\
-                 X-Placement: volume={:016x},units={},shard={shard},hosts={}\r\n{length}\r\n{}",
-                class.name,
-                stand.scenario.plans[volume.plan].name,
-                arrival.key,
-                volume.id,
-                arrival.units,
-                volume.heads.len(),
-                if class.repeat { "" } else { body }
-            );
-            let answer = match wire.write(request.as_bytes()).await {
-                Ok(()) => wire.read(true).await,
+            let request = self.http_request(ticket, arrival, deadline);
+            let answer = match connection.write(request.as_bytes()).await {
+                Ok(()) => connection.read(true).await,
                 Err(error) => Err(error),
             };
             let answer = match answer {
                 Ok(Some(answer)) => answer,
-                // A head may close a connection between requests; where that crosses one, it goes out once more.
-                Ok(None) if reused => continue,
+                // A head may close a connection between requests; a request that crosses that is sent once more.
+                Ok(None) | Err(_) if is_reused => continue,
                 Ok(None) => return Err(io::ErrorKind::UnexpectedEof.into()),
-                Err(_) if reused => continue,
                 Err(error) => return Err(error),
             };
             let closes = answer.header("Connection").is_some_and(|value| value.eq_ignore_ascii_case("close"));
-            let wait = answer.header("Retry-After").and_then(|wait| wait.parse::<f64>().ok()).unwrap_or(0.0);
             if !closes {
-                self.http.borrow_mut().entry(key).or_default().push(wire);
+                self.http.borrow_mut().entry(key).or_default().push(connection);
             }
-            return Ok(match answer.status {
-                200 => {
-                    let of = std::str::from_utf8(&answer.body).ok();
-                    let of = of.and_then(|of| u64::from_str_radix(of, 16).ok()).unwrap_or(u64::MAX);
-                    (Fate::InTime, Some(of), 0)
-                }
-                429 | 503 => (Fate::Refused, None, (wait * 1e6) as Micros),
-                _ => (Fate::Failed, None, 0),
-            });
+            return Ok(http_attempt_end(&answer));
         }
     }
 
-    async fn over_ninep(&self, ticket: Ticket, arrival: &Arrival) -> io::Result<Ended> {
-        let (_, address, life) = self.heads.place(usize::from(arrival.head));
-        let volume = &self.stand.drawn.volumes[arrival.volume as usize];
-        let export = ninep::export(arrival, volume);
-        let key = (usize::from(arrival.head), life, export.clone());
-        let kept = self.ninep.borrow_mut().get_mut(&key).and_then(Vec::pop);
-        let mut session = match kept {
+    /// A request in HTTP, with what is left of its time now.
+    fn http_request(&self, ticket: Ticket, arrival: &Arrival, deadline: Micros) -> String {
+        let test_bed = &self.test_bed;
+        let class = self.class_of(arrival);
+        let volume = &test_bed.drawn.volumes[arrival.volume as usize];
+        let shard = test_bed.shard_of(arrival.placement).map_or("-1".to_owned(), |shard| shard.to_string());
+        let (method, length, body) = if class.is_idempotent {
+            ("GET", String::new(), "")
+        } else {
+            ("PUT", format!("Content-Length: {}\r\n", WRITE_BODY.len()), WRITE_BODY)
+        };
+        let remaining_ms = deadline.saturating_sub(test_bed.now()) / 1000;
+        format!(
+            "{method} /{}/a HTTP/1.1\r\nHost: h\r\nRequest-Id: {}\r\nX-Qos-Policy: {}\r\n\
+             X-Chunk: {:016x}\r\nRequest-Timeout-Ms: {remaining_ms}\r\n\
+             X-Placement: volume={:016x},units={},shard={shard},hosts={}\r\n{length}\r\n{body}",
+            class.name,
+            file_name(ticket),
+            test_bed.scenario.plans[volume.plan].name,
+            arrival.key,
+            volume.id,
+            arrival.units,
+            volume.heads.len(),
+        )
+    }
+
+    async fn over_ninep(&self, ticket: Ticket, arrival: &Arrival) -> io::Result<ClientAttemptEnd> {
+        let head = usize::from(arrival.head);
+        let addresses = self.heads.addresses(head);
+        let volume = &self.test_bed.drawn.volumes[arrival.volume as usize];
+        let export = export_of(arrival, volume);
+        let key = ConnectionKey { head, incarnation: addresses.incarnation, export: export.clone() };
+        let cached = self.ninep.borrow_mut().get_mut(&key).and_then(Vec::pop);
+        let mut session = match cached {
             Some(session) => session,
-            None => match Session::begin(address, &export).await? {
+            None => match Session::begin(addresses.ninep, &export).await? {
                 Ok(session) => session,
-                Err(wait) => return Ok((Fate::Refused, None, wait)),
+                Err(retry_after) => return Ok(ClientAttemptEnd::rejected(retry_after)),
             },
         };
-        let repeat = self.stand.scenario.classes[usize::from(arrival.class)].repeat;
-        let large = usize::from(arrival.class) + 1 == self.stand.scenario.classes.len();
-        let ended = session.file(ticket, repeat, large, arrival.units).await?;
+        let end = session.run(ticket, self.file_operation(arrival)).await?;
         self.ninep.borrow_mut().entry(key).or_default().push(session);
-        Ok(ended)
+        Ok(end)
+    }
+
+    /// What an arrival does to its file; the last class is that of large files.
+    fn file_operation(&self, arrival: &Arrival) -> FileOperation {
+        let is_large = usize::from(arrival.class) + 1 == self.test_bed.scenario.classes.len();
+        match (self.class_of(arrival).is_idempotent, is_large) {
+            (true, true) => FileOperation::ReadLarge,
+            (true, false) => FileOperation::Read(arrival.units),
+            (false, true) => FileOperation::WriteLarge,
+            (false, false) => FileOperation::Write(arrival.units),
+        }
+    }
+}
+
+fn http_attempt_end(answer: &Message) -> ClientAttemptEnd {
+    match answer.status {
+        200 => {
+            let answered = std::str::from_utf8(&answer.body).ok().and_then(parse_file_name);
+            ClientAttemptEnd::served(answered.unwrap_or(Ticket::MAX))
+        }
+        429 | 503 => {
+            let wait_s = answer.header("Retry-After").and_then(|wait| wait.parse::<f64>().ok());
+            ClientAttemptEnd::rejected((wait_s.unwrap_or(0.0) * 1e6) as Micros)
+        }
+        _ => ClientAttemptEnd::not_served(RequestResult::Failed),
     }
 }
--- a/crates/testbed/tests/scale_process.rs
+++ b/crates/testbed/tests/scale_process.rs
@@ -1,6 +1,6 @@
 //! Processes of a measurement: what they are charged with, the end of children, and the limits of a run.
 
-use sedgerun_testbed::scale::process::{ChildGuard, Limits, Memory, Plan, TooLarge, Usage, descendants};
+use sedgerun_testbed::process::{ChildGuard, Limits, Memory, Plan, TooLarge, Usage, descendants};
 use std::path::PathBuf;
 use std::process::Command;
 use std::time::{Duration, Instant};
