--- a/crates/testbed/src/capacity/documents.rs
+++ b/crates/testbed/src/capacity/documents.rs
@@ -1,7 +1,8 @@
 //! The records of scale runs: found, read and validated.
 
 use super::error::CapacityError;
-use crate::scale::results::{Cost, DataPath, FORMAT, Fault, Latency, Point, ScaleResults, Spread, Start};
+use super::validation::{DocumentError, validate};
+use crate::scale::results::{DataPath, FORMAT, Fault, Point, ScaleResults, Start};
 use serde::Deserialize;
 use std::ffi::OsStr;
 use std::io::Read;
@@ -11,12 +12,6 @@
 const MAX_FILE_BYTES: u64 = 16 << 20;
 /// The most documents.
 const MAX_DOCUMENTS: usize = 256;
-/// The most heads, backends, members or clients of a record.
-const MAX_MEMBERS: u64 = 1_000_000;
-/// The largest figure of any kind.
-const MAX_FIGURE: f64 = 1e15;
-/// A mean may exceed the largest member by this part, through rounding.
-const ROUNDING: f64 = 1e-6;
 
 /// Before or after the mechanism that the page is about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -139,7 +134,8 @@
 }
 
 fn load(path: &Path) -> Result<Document, CapacityError> {
-    let results = parse(&read_bounded(path)?).map_err(|reason| CapacityError::document(path, reason))?;
+    let results =
+        parse(&read_bounded(path)?).map_err(|error| CapacityError::document(path, error.to_string()))?;
     let file = path.file_name().map_or_else(String::new, |name| name.to_string_lossy().into_owned());
     Ok(Document { file, set: ResultSet::of(path), results })
 }
@@ -156,134 +152,12 @@
 }
 
 /// Reads and validates one document. An error names the line and column, or the key.
-pub fn parse(text: &str) -> Result<ScaleResults, String> {
-    let header: Header = serde_json::from_str(text).map_err(|error| error.to_string())?;
+pub fn parse(text: &str) -> Result<ScaleResults, DocumentError> {
+    let header: Header = serde_json::from_str(text)?;
     if header.format != u64::from(FORMAT) {
-        return Err(format!("format {}, expected {FORMAT}", header.format));
+        return Err(DocumentError::Format(header.format));
     }
-    let results: ScaleResults = serde_json::from_str(text).map_err(|error| error.to_string())?;
+    let results: ScaleResults = serde_json::from_str(text)?;
     validate(&results)?;
     Ok(results)
 }
-
-fn validate(results: &ScaleResults) -> Result<(), String> {
-    count("machine.cores", results.machine.cores)?;
-    for (i, point) in results.points.iter().enumerate() {
-        validate_point(&format!("points[{i}]"), point)?;
-    }
-    for (i, start) in results.starts.iter().enumerate() {
-        validate_start(&format!("starts[{i}]"), start)?;
-    }
-    for (i, fault) in results.faults.iter().enumerate() {
-        validate_fault(&format!("faults[{i}]"), fault)?;
-    }
-    for (i, path) in results.data_path.iter().enumerate() {
-        validate_data_path(&format!("data_path[{i}]"), path)?;
-    }
-    Ok(())
-}
-
-fn validate_point(key: &str, point: &Point) -> Result<(), String> {
-    count(&format!("{key}.heads"), point.heads)?;
-    count(&format!("{key}.backends"), point.backends)?;
-    figure(&format!("{key}.changes_per_second"), point.changes_per_second)?;
-    figure(&format!("{key}.seconds"), point.seconds)?;
-    spread(&format!("{key}.depth"), &point.depth)?;
-    if let Some(in_force) = &point.in_force {
-        latency(&format!("{key}.in_force"), in_force)?;
-    }
-    at_most(&format!("{key}.reached"), point.reached, point.heads, "heads")?;
-    for (role, cost) in &point.roles {
-        validate_cost(&format!("{key}.roles.{role:?}"), cost, point.heads)?;
-    }
-    Ok(())
-}
-
-fn validate_cost(key: &str, cost: &Cost, heads: u64) -> Result<(), String> {
-    count(&format!("{key}.count"), cost.count)?;
-    at_most(&format!("{key}.count"), cost.count, heads, "heads")?;
-    let figures = [
-        ("bytes_in", &cost.bytes_in),
-        ("bytes_out", &cost.bytes_out),
-        ("messages_in", &cost.messages_in),
-        ("messages_out", &cost.messages_out),
-        ("cpu_percent", &cost.cpu_percent),
-        ("memory_bytes", &cost.memory_bytes),
-        ("descriptors", &cost.descriptors),
-    ];
-    figures.iter().try_for_each(|(name, value)| spread(&format!("{key}.{name}"), value))
-}
-
-fn validate_start(key: &str, start: &Start) -> Result<(), String> {
-    count(&format!("{key}.heads"), start.heads)?;
-    count(&format!("{key}.backends"), start.backends)?;
-    count(&format!("{key}.started"), start.started)?;
-    at_most(&format!("{key}.started"), start.started, start.heads, "heads")?;
-    latency(&format!("{key}.ready"), &start.ready)?;
-    spread(&format!("{key}.bytes_in"), &start.bytes_in)
-}
-
-fn validate_fault(key: &str, fault: &Fault) -> Result<(), String> {
-    count(&format!("{key}.heads"), fault.heads)?;
-    count(&format!("{key}.backends"), fault.backends)?;
-    at_most(&format!("{key}.struck"), fault.struck, fault.heads, "heads")?;
-    let figures = [
-        ("settled_again_ms", fault.settled_again_ms),
-        ("in_force_ms", fault.in_force_ms),
-        ("peak_bytes", fault.peak_bytes),
-        ("head_peak_bytes", fault.head_peak_bytes),
-        ("oldest_ms", fault.oldest_ms),
-    ];
-    for (name, value) in figures {
-        value.map_or(Ok(()), |value| figure(&format!("{key}.{name}"), value))?;
-    }
-    if fault.head_peak_bytes > fault.peak_bytes {
-        return Err(format!("{key}.head_peak_bytes is over its peak_bytes"));
-    }
-    Ok(())
-}
-
-fn validate_data_path(key: &str, path: &DataPath) -> Result<(), String> {
-    count(&format!("{key}.backends"), path.backends)?;
-    count(&format!("{key}.clients"), path.clients)?;
-    figure(&format!("{key}.cpu_us"), path.cpu_us)?;
-    figure(&format!("{key}.connects_per_second"), path.connects_per_second)?;
-    figure(&format!("{key}.requests_per_second"), path.requests_per_second)?;
-    latency(&format!("{key}.latency"), &path.latency)
-}
-
-fn count(key: &str, value: u64) -> Result<(), String> {
-    if (1..=MAX_MEMBERS).contains(&value) {
-        return Ok(());
-    }
-    Err(format!("{key} is out of range, 1 to {MAX_MEMBERS}: {value}"))
-}
-
-fn at_most(key: &str, value: u64, most: u64, of: &str) -> Result<(), String> {
-    if value <= most { Ok(()) } else { Err(format!("{key} is more than there are {of}: {value} of {most}")) }
-}
-
-fn figure(key: &str, value: f64) -> Result<(), String> {
-    if (0.0..=MAX_FIGURE).contains(&value) {
-        return Ok(());
-    }
-    Err(format!("{key} is out of range, 0 to {MAX_FIGURE}: {value}"))
-}
-
-fn spread(key: &str, value: &Spread) -> Result<(), String> {
-    figure(&format!("{key}.mean"), value.mean)?;
-    figure(&format!("{key}.most"), value.most)?;
-    if value.mean <= value.most * (1.0 + ROUNDING) {
-        return Ok(());
-    }
-    Err(format!("{key}.mean is over its most: {} and {}", value.mean, value.most))
-}
-
-fn latency(key: &str, value: &Latency) -> Result<(), String> {
-    figure(&format!("{key}.median_ms"), value.median_ms)?;
-    figure(&format!("{key}.p99_ms"), value.p99_ms)?;
-    figure(&format!("{key}.most_ms"), value.most_ms)?;
-    let rises = value.median_ms <= value.p99_ms * (1.0 + ROUNDING)
-        && value.p99_ms <= value.most_ms * (1.0 + ROUNDING);
-    if rises { Ok(()) } else { Err(format!("{key}: median, 99th percentile and most do not rise")) }
-}
--- a/crates/testbed/src/capacity/mod.rs
+++ b/crates/testbed/src/capacity/mod.rs
@@ -1,6 +1,6 @@
 //! The capacity page: what each role costs at a target size, worked out from the records of scale runs.
 //!
-//! [`documents`] reads and validates the records, [`target`] the size to work out, [`regression`] fits a linear model to
+//! [`documents`] reads the records and validates them, [`target`] the size to work out, [`regression`] fits a linear model to
 //! one quantity, [`estimate`] applies the models to the target and its budgets, [`tables`] prints them and [`page`]
 //! checks or writes them in a Markdown file.
 
@@ -9,13 +9,17 @@
 pub mod error;
 pub mod estimate;
 pub mod format;
+mod outcome;
 pub mod page;
 pub mod quantity;
 pub mod regression;
 pub mod tables;
 pub mod target;
+mod validation;
 
 pub use arguments::CapacityArguments;
+pub use outcome::{Difference, Outcome};
+pub use validation::DocumentError;
 
 use arguments::Action;
 use documents::Documents;
@@ -23,19 +27,6 @@
 use tables::{Input, Section};
 use target::Target;
 
-/// What came of a run.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Outcome {
-    /// All tables as Markdown.
-    Printed(String),
-    /// The page holds exactly these tables.
-    Same,
-    /// The page differs; the first difference.
-    Differs(page::Difference),
-    /// The page was written.
-    Written,
-}
-
 /// Reads the results and the target, and prints, checks or writes the tables.
 ///
 /// # Errors
--- a/crates/testbed/src/capacity/page.rs
+++ b/crates/testbed/src/capacity/page.rs
@@ -2,13 +2,13 @@
 //!
 //! A table stands between the lines `<!-- capacity: SECTION SET -->` and `<!-- end -->`, with an empty line on each side.
 
-use super::Outcome;
 use super::error::CapacityError;
+use super::outcome::{Difference, Outcome};
 use super::tables::{Input, Section};
-use std::fmt;
 use std::fs::File;
 use std::io::{Read, Write};
-use std::path::{Path, PathBuf};
+use std::path::Path;
+use thiserror::Error;
 
 const BEGIN: &str = "<!-- capacity:";
 const CLOSE: &str = "-->";
@@ -16,26 +16,6 @@
 /// The largest page, bytes.
 const MAX_FILE_BYTES: u64 = 8 << 20;
 
-/// The first line of a page that is not what the results give.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Difference {
-    /// The page.
-    pub path: PathBuf,
-    /// Its line, counted from 1.
-    pub line: usize,
-    /// What the results give.
-    pub expected: String,
-    /// What the page holds.
-    pub found: String,
-}
-
-impl fmt::Display for Difference {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Difference { path, line, expected, found } = self;
-        write!(f, "{}: line {line}: expected \"{expected}\", found \"{found}\"", path.display())
-    }
-}
-
 /// Compares the tables of a page with those of the input.
 ///
 /// # Errors
@@ -115,7 +95,7 @@
         }
         push_line(&mut page, content);
         if let Some(rest) = marker.strip_prefix(BEGIN) {
-            let section = parse_marker(rest).map_err(|reason| fault(line, reason))?;
+            let section = parse_marker(rest).map_err(|error| fault(line, error.to_string()))?;
             page.push_str(&format!("\n{}\n\n", input.table(section).trim_end()));
             present.push(section);
             open = Some(line);
@@ -138,7 +118,16 @@
     page.push('\n');
 }
 
-fn parse_marker(rest: &str) -> Result<Section, String> {
-    let name = rest.strip_suffix(CLOSE).ok_or_else(|| format!("the marker does not end with \"{CLOSE}\""))?;
-    Section::named(name.trim()).ok_or_else(|| format!("section {} is unknown", name.trim()))
+/// Why the marker of a section cannot be used.
+#[derive(Debug, Error)]
+enum MarkerError {
+    #[error("the marker does not end with \"{CLOSE}\"")]
+    NotClosed,
+    #[error("section {0} is unknown")]
+    UnknownSection(String),
+}
+
+fn parse_marker(rest: &str) -> Result<Section, MarkerError> {
+    let name = rest.strip_suffix(CLOSE).ok_or(MarkerError::NotClosed)?.trim();
+    Section::named(name).ok_or_else(|| MarkerError::UnknownSection(name.to_owned()))
 }
--- a/crates/testbed/src/capacity/tables/comparison.rs
+++ b/crates/testbed/src/capacity/tables/comparison.rs
@@ -1,7 +1,7 @@
 //! Each quantity before and after the mechanism, at the target.
 
+use super::cells::{OVER, or_not_run};
 use super::roles::no_fit;
-use super::{OVER, or_not_run};
 use crate::capacity::estimate::Estimate;
 use crate::capacity::format::{number, optional};
 use crate::capacity::quantity::role_name;
--- a/crates/testbed/src/capacity/tables/events.rs
+++ b/crates/testbed/src/capacity/tables/events.rs
@@ -1,6 +1,6 @@
 //! Tables of what was measured at each size, and of times beside what is promised.
 
-use super::{NOT_RUN, OVER, or_not_run};
+use super::cells::{NOT_RUN, OVER, or_not_run};
 use crate::capacity::documents::{Documents, ResultSet};
 use crate::capacity::format::{number, optional};
 use crate::capacity::target::Target;
--- a/crates/testbed/src/capacity/tables/mod.rs
+++ b/crates/testbed/src/capacity/tables/mod.rs
@@ -1,5 +1,6 @@
 //! The tables of the page, in Markdown.
 
+mod cells;
 mod comparison;
 mod events;
 mod ordinary_day;
@@ -9,19 +10,8 @@
 use super::documents::{Documents, ResultSet};
 use super::estimate::{Estimate, estimates};
 use super::target::Target;
-use crate::report::table;
 use std::fmt;
 
-/// A cell of a figure that no run has taken.
-const NOT_RUN: &str = "not run";
-/// The mark of a row that is over its budget.
-const OVER: &str = "**over**";
-
-/// A table, or a sentence where it has no rows.
-fn or_not_run(header: &[&str], rows: Vec<Vec<String>>) -> String {
-    if rows.is_empty() { "Not run.".to_owned() } else { table(header, rows) }
-}
-
 /// A table of both sets, or of neither.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Common {
--- a/crates/testbed/src/capacity/tables/ordinary_day.rs
+++ b/crates/testbed/src/capacity/tables/ordinary_day.rs
@@ -1,6 +1,6 @@
 //! What the target's events come to: on an ordinary day, and when a zone is lost.
 
-use super::NOT_RUN;
+use super::cells::NOT_RUN;
 use crate::capacity::documents::{Documents, ResultSet};
 use crate::capacity::format::number;
 use crate::capacity::target::{SECONDS_PER_DAY, Target};
--- a/crates/testbed/src/capacity/tables/roles.rs
+++ b/crates/testbed/src/capacity/tables/roles.rs
@@ -1,6 +1,6 @@
 //! Tables of the roles at the target: cost, budgets, limits, models.
 
-use super::{NOT_RUN, OVER};
+use super::cells::{NOT_RUN, OVER};
 use crate::capacity::estimate::{Estimate, members};
 use crate::capacity::format::{number, optional, percent};
 use crate::capacity::quantity::{Quantity, ROLES, role_name};
--- a/crates/testbed/src/capacity/tables/runs.rs
+++ b/crates/testbed/src/capacity/tables/runs.rs
@@ -1,7 +1,7 @@
 //! Tables of the documents themselves and of the data path.
 
+use super::cells::or_not_run;
 use super::events::one_line;
-use super::or_not_run;
 use crate::capacity::documents::{Documents, ResultSet};
 use crate::capacity::format::{number, optional};
 use crate::capacity::target::Target;
