--- a/crates/testbed/src/commands/mod.rs
+++ b/crates/testbed/src/commands/mod.rs
@@ -20,7 +20,7 @@
 use run_arguments::RunArguments;
 use sedgerun_config::Faults;
 use sedgerun_testbed::capacity::CapacityArguments;
-use sedgerun_testbed::report::{compare_table, page};
+use sedgerun_testbed::report::{compare_table, write_page};
 use sedgerun_testbed::scale::arguments::ScaleArguments;
 use sedgerun_testbed::scale::data_path::command::DataPathArgs;
 use sedgerun_testbed::scale::{self, data_path, discovery, host, host_process};
@@ -186,7 +186,7 @@
         Command::DataPath(arguments) => data_path::command::run(&arguments).map_err(fault_of),
         Command::Capacity(arguments) => capacity::run(&arguments),
         Command::Report { folder } => {
-            println!("{}", page(Path::new(&folder)).map_err(fault_of)?);
+            println!("{}", write_page(Path::new(&folder)).map_err(fault_of)?);
             Ok(true)
         }
     }
--- a/crates/testbed/src/fault_proxy.rs
+++ b/crates/testbed/src/fault_proxy.rs
@@ -7,7 +7,7 @@
 use std::thread;
 use std::time::Duration;
 
-/// What becomes of the bytes of one direction.
+/// What happens to the bytes of one direction.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum StreamFault {
     /// They pass.
@@ -17,15 +17,15 @@
     Delay(Duration),
     /// They pass one at a time, so much apart.
     Trickle(Duration),
-    /// They are held until the fault is over.
+    /// They wait until the fault is over.
     Stall,
-    /// They vanish.
+    /// They are dropped.
     Lose,
-    /// One bit of each chunk is turned.
+    /// One bit of each chunk is flipped.
     Corrupt,
 }
 
-/// What a link suffers.
+/// The faults of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LinkFaults {
     /// Connections are reset and new ones refused.
@@ -41,15 +41,15 @@
 pub struct Link {
     /// Where it is dialed.
     pub address: SocketAddr,
-    inner: Arc<(Mutex<State>, Condvar)>,
+    inner: Arc<(Mutex<LinkState>, Condvar)>,
 }
 
 #[derive(Default)]
-struct State {
+struct LinkState {
     faults: LinkFaults,
     target: Option<SocketAddr>,
     streams: Vec<TcpStream>,
-    /// Chunks that were held, lost or turned.
+    /// Chunks that a fault has affected.
     affected: u64,
 }
 
@@ -67,7 +67,7 @@
         Ok(link)
     }
 
-    fn lock(&self) -> MutexGuard<'_, State> {
+    fn lock(&self) -> MutexGuard<'_, LinkState> {
         self.inner.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -122,7 +122,7 @@
 
     fn pass(&self, chunk: &mut [u8], to: &mut TcpStream, back: bool) -> io::Result<()> {
         let mut state = self.lock();
-        let fault = |state: &State| if back { state.faults.backward } else { state.faults.forward };
+        let fault = |state: &LinkState| if back { state.faults.backward } else { state.faults.forward };
         state.affected += u64::from(fault(&state) != StreamFault::Pass);
         while fault(&state) == StreamFault::Stall {
             state = self.inner.1.wait(state).unwrap_or_else(PoisonError::into_inner);
--- a/crates/testbed/src/figures.rs
+++ b/crates/testbed/src/figures.rs
@@ -99,7 +99,7 @@
     pub marks: Vec<(Micros, String)>,
 }
 
-/// Latencies up to a minute are told apart, in microseconds, to three digits.
+/// The longest latency that a histogram distinguishes from a longer one, us.
 const MAX_LATENCY: u64 = 60_000_000;
 /// The window of the worst service, s.
 const WORST_WINDOW: usize = 10;
--- a/crates/testbed/src/process.rs
+++ b/crates/testbed/src/process.rs
@@ -9,13 +9,13 @@
 /// The part of the machine's memory that all processes of a run may take.
 const MEMORY_PART: u64 = 2;
 /// The most processes of a run.
-const MOST_PROCESSES: u64 = 300;
+const MAX_PROCESSES: u64 = 300;
 const MIB: u64 = 1 << 20;
 
 /// What a process has taken of the machine by a moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Usage {
-    /// When it was looked at.
+    /// When it was read.
     pub at: Instant,
     /// Processor time of all its threads that live, since their starts.
     pub cpu: Duration,
@@ -26,7 +26,7 @@
 }
 
 impl Usage {
-    /// Looks at a process of the same user.
+    /// Reads the usage of a process of the same user.
     pub fn of(process: u32) -> io::Result<Usage> {
         Ok(Usage {
             at: Instant::now(),
@@ -36,7 +36,7 @@
         })
     }
 
-    /// Processor time since an earlier look, in percent of one core.
+    /// Processor time since an earlier reading, in percent of one core.
     pub fn cpu_percent_since(&self, earlier: &Usage) -> f64 {
         let elapsed = self.at.saturating_duration_since(earlier.at).as_secs_f64();
         100.0 * self.cpu.saturating_sub(earlier.cpu).as_secs_f64() / elapsed.max(f64::EPSILON)
@@ -83,7 +83,7 @@
 }
 
 impl Memory {
-    /// Looks at the machine.
+    /// Reads that of this machine.
     pub fn of_machine() -> io::Result<Memory> {
         let field = |name| read_field("/proc/meminfo", name);
         Ok(Memory { total_bytes: field("MemTotal:")?, available_bytes: field("MemAvailable:")? })
@@ -173,7 +173,7 @@
     /// The limits on this machine: half of its memory, and a few hundred processes.
     pub fn of_machine() -> io::Result<Limits> {
         let memory = Memory::of_machine()?;
-        Ok(Limits { processes: MOST_PROCESSES, memory_bytes: memory.total_bytes / MEMORY_PART })
+        Ok(Limits { processes: MAX_PROCESSES, memory_bytes: memory.total_bytes / MEMORY_PART })
     }
 
     /// Refuses a plan that would go past a limit.
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -2,13 +2,15 @@
 
 use crate::experiment::{Summary, difference, summaries};
 use comfy_table::{CellAlignment, Table, presets};
+use plotters::drawing::DrawingAreaErrorKind;
 use plotters::prelude::*;
 use serde_json::Value;
 use std::collections::BTreeMap;
-use std::error::Error;
-use std::path::Path;
+use std::io;
+use std::path::{Path, PathBuf};
+use thiserror::Error;
 
-/// Colours that are told apart by most eyes (Okabe and Ito).
+/// Colours that most eyes can distinguish (Okabe and Ito).
 const COLOURS: [RGBColor; 8] = [
     RGBColor(0, 114, 178),
     RGBColor(230, 159, 0),
@@ -20,6 +22,26 @@
     RGBColor(0, 0, 0),
 ];
 
+/// Why tables or charts of results cannot be made.
+#[derive(Debug, Error)]
+pub enum ReportError {
+    /// A file or folder cannot be read or written.
+    #[error("{0}")]
+    Io(#[from] io::Error),
+    /// A file is not one of results.
+    #[error("{path}: {error}")]
+    Results {
+        /// The file.
+        path: PathBuf,
+        /// Where and why.
+        #[source]
+        error: serde_json::Error,
+    },
+    /// A chart cannot be drawn.
+    #[error("{0}")]
+    Drawing(#[from] DrawingAreaErrorKind<io::Error>),
+}
+
 /// A table in Markdown's form; all but the first column stand to the right.
 pub fn table(head: &[&str], rows: Vec<Vec<String>>) -> String {
     let mut table = Table::new();
@@ -33,7 +55,7 @@
     table.to_string()
 }
 
-/// A figure in as many digits as tell something.
+/// A figure in as many digits as mean something.
 pub fn figure(value: f64) -> String {
     match value.abs() {
         least if least >= 1000.0 => format!("{value:.0}"),
@@ -89,7 +111,7 @@
 }
 
 /// Draws lines over a common axis into an SVG file.
-pub fn lines(path: &Path, chart: &Chart<'_>, lines: &[Line]) -> Result<(), Box<dyn Error>> {
+pub fn lines(path: &Path, chart: &Chart<'_>, lines: &[Line]) -> Result<(), ReportError> {
     let points = || lines.iter().flat_map(|(_, points)| points);
     let right = points().map(|(x, _)| *x).fold(1e-9, f64::max);
     let left = points().map(|(x, _)| *x).fold(right, f64::min);
@@ -139,8 +161,8 @@
     values.into_iter().enumerate().map(|(second, value)| (second as f64, value)).collect()
 }
 
-/// Writes the tables and charts of all results in a folder beside them; gives the page's text.
-pub fn page(folder: &Path) -> Result<String, Box<dyn Error>> {
+/// Writes the tables and charts of all results in a folder beside them; returns the text of the page.
+pub fn write_page(folder: &Path) -> Result<String, ReportError> {
     let mut groups: BTreeMap<String, Vec<Value>> = BTreeMap::new();
     let mut names: Vec<_> = std::fs::read_dir(folder)?.collect::<Result<Vec<_>, _>>()?;
     names.sort_by_key(|entry| entry.file_name());
@@ -148,8 +170,8 @@
         let path = entry.path();
         if path.extension().is_some_and(|extension| extension == "json") {
             let text = std::fs::read_to_string(&path)?;
-            let read: Value =
-                serde_json::from_str(&text).map_err(|error| format!("{}: {error}", path.display()))?;
+            let read: Value = serde_json::from_str(&text)
+                .map_err(|error| ReportError::Results { path: path.clone(), error })?;
             // A file holds one result or a list of them.
             let all = if let Value::Array(all) = read { all } else { vec![read] };
             for result in all {
@@ -220,7 +242,7 @@
     folder: &Path,
     name: &str,
     result: &Value,
-) -> Result<Vec<(&'static str, &'static str)>, Box<dyn Error>> {
+) -> Result<Vec<(&'static str, &'static str)>, ReportError> {
     let all_marks = script_marks(result);
     let service = vec![("service".into(), over_seconds(numbers(&result["seconds"])))];
     let rejected = vec![("refused".into(), over_seconds(numbers(&result["refused"])))];
--- a/crates/testbed/src/scale/changes.rs
+++ b/crates/testbed/src/scale/changes.rs
@@ -8,7 +8,7 @@
 
 /// The tenant whose exports are changed.
 pub const TENANT: &str = "scale";
-/// Exports that are changed in turn, so that what is held stays the same size.
+/// Exports that are changed in turn, so that the state stays the same size.
 const EXPORTS: u64 = 8;
 /// A change that is not settled by then is given up: the time in which a change of primary must be over.
 const SETTLE_TIME: Duration = Duration::from_secs(13);
@@ -20,7 +20,7 @@
 pub struct Settled {
     /// The version of the store that holds it.
     pub version: u64,
-    /// When its settling was heard, us on the boot clock.
+    /// When it was known to be settled, us on the boot clock.
     pub at_us: u64,
 }
 
--- a/crates/testbed/src/scale/data_path/backends.rs
+++ b/crates/testbed/src/scale/data_path/backends.rs
@@ -26,7 +26,7 @@
     listening: Vec<SocketAddr>,
 }
 
-/// What a process is told.
+/// The command of a process.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(tag = "command", rename_all = "snake_case")]
 enum Command {
--- a/crates/testbed/src/scale/data_path/clients.rs
+++ b/crates/testbed/src/scale/data_path/clients.rs
@@ -21,7 +21,7 @@
 const DEADLINE_MS: u64 = 2_000;
 /// Rest after a request that was not served, so that refusals are no busy loop.
 const REFUSED_REST: Duration = Duration::from_millis(5);
-/// The longest time that is told from others, us.
+/// The longest time that a histogram distinguishes from a longer one, us.
 const MOST_US: u64 = 60_000_000;
 /// Volumes that requests belong to.
 const VOLUMES: u64 = 64;
--- a/crates/testbed/src/scale/data_path/head.rs
+++ b/crates/testbed/src/scale/data_path/head.rs
@@ -17,7 +17,7 @@
 
 /// Time in which the head must serve the last backend of its list.
 const READY_WITHIN: Duration = Duration::from_secs(20);
-/// Wait between looks whether it does.
+/// Time between checks whether it does.
 const READY_RETRY: Duration = Duration::from_millis(50);
 /// Memory that the head may take, MiB, as its configuration says.
 const MEMORY_MB: u64 = 192;
--- a/crates/testbed/src/scale/data_path/mod.rs
+++ b/crates/testbed/src/scale/data_path/mod.rs
@@ -73,7 +73,7 @@
         limits.check(&plan).map_err(|error| ScaleError::refused("--backends", error.to_string()))
     }
 
-    /// Measures one number of backends. `own` is the program of the stand-ins, `sedgerun-testbed`.
+    /// Measures one number of backends. `own` is the program of the emulated parts, `sedgerun-testbed`.
     pub fn measure(
         &self,
         own: &Path,
--- a/crates/testbed/src/scale/discovery/catalog.rs
+++ b/crates/testbed/src/scale/discovery/catalog.rs
@@ -10,7 +10,7 @@
 pub const HISTORY: usize = 16_384;
 /// Zones that the backends are spread over.
 pub const ZONES: [&str; 8] = ["a", "b", "c", "d", "e", "f", "g", "h"];
-/// Time that a backend which is being replaced drains for, and then that it is gone for.
+/// Time that a backend which is being replaced drains for, and then that it is removed for.
 const STEP: Duration = Duration::from_millis(500);
 /// Port of the addresses at which nobody listens: `discard`.
 const UNUSED_PORT: u16 = 9;
@@ -80,7 +80,7 @@
 #[derive(Debug)]
 pub struct Catalog {
     generation: u64,
-    /// One for each cell; none while its backend is being replaced and gone.
+    /// One for each cell; none while its backend is being replaced and removed.
     instances: Vec<Option<Instance>>,
     /// Addresses of backends that listen, by cell; the others get addresses at which nobody does.
     addresses: Vec<SocketAddr>,
@@ -169,7 +169,7 @@
         }
     }
 
-    /// Begins to replace so many backends: each drains, is gone, and comes back under a new name.
+    /// Begins to replace so many backends: each drains, is removed, and comes back under a new name.
     pub fn begin_replacing(&mut self, count: usize, now: Instant) {
         let mut changes = Vec::new();
         for _ in 0..count.min(self.instances.len()) {
--- a/crates/testbed/src/scale/discovery/control.rs
+++ b/crates/testbed/src/scale/discovery/control.rs
@@ -16,7 +16,7 @@
 pub const MOST_BACKENDS: usize = 100_000;
 /// The most backends that may be replaced a second.
 const MOST_REPLACEMENTS: f64 = 10_000.0;
-/// The longest that the service may be told to be down.
+/// The longest time that a command may take the service down for.
 const LONGEST_DOWN: Duration = Duration::from_secs(600);
 
 /// The first line of the program.
@@ -27,7 +27,7 @@
     pub listening: SocketAddr,
 }
 
-/// What the program is told, a line each.
+/// The commands of the program, a line each.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "command", rename_all = "snake_case", deny_unknown_fields)]
 pub enum Command {
@@ -41,7 +41,7 @@
         /// The addresses, in the order of the cells.
         addresses: Vec<SocketAddr>,
     },
-    /// Backends are replaced from now on: each drains, is gone, and comes back under a new name and address.
+    /// Backends are replaced from now on: each drains, is removed, and comes back under a new name and address.
     Replace {
         /// How many a second; 0 for none.
         per_second: f64,
@@ -81,7 +81,7 @@
     },
 }
 
-/// Runs the service until it is told to end, or its input ends.
+/// Runs the service until a command ends it, or its input ends.
 pub fn run() -> io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, serve())
--- a/crates/testbed/src/scale/discovery/mod.rs
+++ b/crates/testbed/src/scale/discovery/mod.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the platform's discovery service that bears thousands of watches: one process, one thread.
+//! An emulation of the platform's discovery service that bears thousands of watches: one process, one thread.
 //!
 //! The program prints one [`Listening`] line on standard output, then obeys one [`Command`] a line on standard
 //! input, each answered by one [`Reply`] line, until [`Command::End`] or the end of its input.
--- a/crates/testbed/src/scale/discovery/traffic.rs
+++ b/crates/testbed/src/scale/discovery/traffic.rs
@@ -33,7 +33,7 @@
     pub calls: u64,
     /// Watches that wait now.
     pub open_watches: u64,
-    /// Answers since the start that held the whole list.
+    /// Answers since the start that contained the complete list.
     pub whole_lists: u64,
     /// Connections that are open.
     pub open_connections: u64,
--- a/crates/testbed/src/scale/faults.rs
+++ b/crates/testbed/src/scale/faults.rs
@@ -23,9 +23,9 @@
 /// Heads of a zone that returns start within this time.
 const RETURN_SPREAD: Duration = Duration::from_secs(1);
 /// How much younger than the cut the state of a head that is cut off may say it is: its last update may have come
-/// a long poll after the cut began, and the look at it takes time.
+/// a long poll after the cut began, and reading it takes time.
 const AGE_SLACK: Duration = Duration::from_millis(2500);
-/// Between looks at whether a change is in force.
+/// Time between checks whether a change is in force.
 const POLL_EVERY: Duration = Duration::from_millis(100);
 /// The zone that is lost.
 const LOST_ZONE: u8 = 8;
@@ -39,7 +39,7 @@
     RegionCut,
     /// The leader of the store is killed.
     LeaderKilled,
-    /// A backend goes off discovery's list, and another takes over what it held.
+    /// A backend is removed from discovery's list, and another takes over its shard.
     BackendReplaced,
     /// A relay of each region is stopped, or, without relays, the hollow heads that hear from a voter itself and serve
     /// others; they start again later.
@@ -149,7 +149,7 @@
     check_in_force(fleet, record, settled, |_| true)
 }
 
-/// A head that is cut off serves what it held, holds nothing newer, and says how old it is.
+/// A head that is cut off serves the state it had, has nothing newer, and says how old it is.
 fn check_cut_heads(
     record: &mut Fault,
     reports: &[HeadReport],
@@ -183,7 +183,7 @@
     fleet.harness.start(leader).map_err(|error| ScaleError::Failed(error.to_string()))
 }
 
-/// Takes a backend off discovery's list, and puts another in its place once all heads have heard of that. The time
+/// Removes a backend from discovery's list, and puts another in its place once all heads were notified of that. The time
 /// counts from the first to when all heads hold the list with the new one.
 fn replace_backend(fleet: &mut ScaleFleet, record: &mut Fault) -> Result<(), ScaleError> {
     let backends = fleet.backends;
@@ -192,7 +192,7 @@
     }
     record.struck = 1;
     let begun = Instant::now();
-    // The list is as long after as before: a head that was not seen without the first may have heard of neither.
+    // The list is as long after as before: a head that was not seen without the first may have been notified of neither.
     for length in [backends - 1, backends] {
         fleet.set_backends(length)?;
         let overdue = wait_for_list_at_real_heads(fleet, begun + GIVE_UP)?;
--- a/crates/testbed/src/scale/hollow.rs
+++ b/crates/testbed/src/scale/hollow.rs
@@ -34,7 +34,7 @@
 const SYNC_TIME: Duration = Duration::from_millis(2);
 /// Descriptors of a relay, so that it has room for as many followers as a relay ever takes.
 const RELAY_SOCKETS: usize = 2048;
-/// Between looks at whether a head that starts is ready.
+/// Time between checks whether a head that starts is ready.
 const READY_POLL: Duration = Duration::from_millis(20);
 /// Wait after a connection that could not be accepted.
 const ACCEPT_RETRY: Duration = Duration::from_millis(20);
@@ -44,7 +44,7 @@
 
 /// What the heads of a process have in common.
 pub struct Surroundings {
-    /// What the process was told.
+    /// The settings of the process.
     pub spec: HostSpec,
     /// Their network.
     pub network: ZoneNetwork,
@@ -191,7 +191,7 @@
         Ok(Config { name: self.name.clone(), seed: self.seed, ..config })
     }
 
-    /// Notes when it comes to act on versions, once it is ready: what it lacks at its start is not late.
+    /// Notes when it comes to act on versions, once it is ready: what it lacks at its start is not overdue.
     async fn watch_versions(self: Rc<Self>, fleet: Rc<ClusterHandle>) {
         let mut versions = fleet.in_force();
         let mut last = *versions.borrow_and_update();
--- a/crates/testbed/src/scale/host_process.rs
+++ b/crates/testbed/src/scale/host_process.rs
@@ -12,12 +12,12 @@
 
 /// The hidden subcommand of `sedgerun-testbed` that runs a host.
 pub const SUBCOMMAND: &str = "scale-host";
-/// Time in which a host must answer: it may have thousands of heads to look at on a busy machine.
+/// Time in which a host must answer: it may have thousands of heads to read on a busy machine.
 const ANSWER_TIME: Duration = Duration::from_secs(60);
 
 /// A process of hollow heads; dropped, it ends.
 pub struct HostProcess {
-    // Before the child, so that a host which is dropped is told to end before it is killed.
+    // Before the child, so that a host which is dropped is asked to end before it is killed.
     input: ChildStdin,
     answers: Receiver<String>,
     child: ChildGuard,
@@ -64,7 +64,7 @@
         self.write(&line)
     }
 
-    /// Its answer to what it was last told.
+    /// Its answer to the last command.
     pub fn answer(&mut self) -> Result<HostAnswer, ScaleError> {
         let line = self.answers.recv_timeout(ANSWER_TIME);
         let line = line.map_err(|error| ScaleError::failed("no answer of a host", error))?;
--- a/crates/testbed/src/scale/json_lines.rs
+++ b/crates/testbed/src/scale/json_lines.rs
@@ -11,7 +11,7 @@
 /// The longest command, bytes: a list of 100,000 addresses.
 const MOST_COMMAND: u64 = 4 << 20;
 
-/// Why a process did not do what it was told.
+/// Why a process did not carry out a command.
 #[derive(Debug)]
 pub enum ConversationError {
     /// It could not be started, or the conversation broke off.
@@ -49,7 +49,7 @@
     }
 }
 
-/// A process that is told what to do on its standard input; dropped, it ends. Calls block until it has answered.
+/// A process that takes commands on its standard input; dropped, it ends. Calls block until it has answered.
 #[derive(Debug)]
 pub struct Conversation {
     child: ChildGuard,
--- a/crates/testbed/src/scale/mod.rs
+++ b/crates/testbed/src/scale/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! [`orchestrator`] takes the steps of a run one after the other: it grows the fleet ([`scale_fleet`]), measures
 //! steady loads ([`steady`]) and injects faults ([`faults`]), and leaves a record ([`results`]). Hollow heads
-//! ([`hollow`]) live by the hundred in host processes ([`host`]) that are told what to do in JSON lines
+//! ([`hollow`]) live by the hundred in host processes ([`host`]) that take their commands as JSON lines
 //! ([`protocol`]).
 
 pub mod arguments;
--- a/crates/testbed/src/scale/output.rs
+++ b/crates/testbed/src/scale/output.rs
@@ -77,7 +77,7 @@
 
 impl Drop for OutputFile {
     fn drop(&mut self) {
-        // It is gone already where results were written.
+        // It does not exist any more where results were written.
         let _ = std::fs::remove_file(&self.part);
     }
 }
--- a/crates/testbed/src/scale/results.rs
+++ b/crates/testbed/src/scale/results.rs
@@ -21,7 +21,7 @@
     WholeHead,
     /// The control code of a head alone, one of many in a process.
     HollowHead,
-    /// The stand-in for the platform's discovery service.
+    /// The emulated discovery service of the platform.
     Discovery,
 }
 
@@ -166,12 +166,12 @@
     pub in_force_ms: Option<f64>,
     /// The largest payload of one member, whatever its role, in and out in any one second after the fault, bytes.
     pub peak_bytes: Option<f64>,
-    /// The same of heads that are neither voters nor relays; absent where it was not told apart.
+    /// The same of heads that are neither voters nor relays; absent where it was not measured by itself.
     #[serde(default)]
     pub head_peak_bytes: Option<f64>,
     /// How old the cut heads said that their state was, at the most, ms.
     pub oldest_ms: Option<f64>,
-    /// Every check of this fault held.
+    /// Every check of this fault passed.
     pub passed: bool,
     /// What did not hold, a sentence each.
     pub failures: Vec<String>,
--- a/crates/testbed/src/scale/scale_fleet.rs
+++ b/crates/testbed/src/scale/scale_fleet.rs
@@ -1,5 +1,5 @@
 //! The fleet of a run: voters and whole heads as processes of their own, hollow heads by the hundred in host
-//! processes, and the stand-in for discovery.
+//! processes, and the emulated discovery service.
 
 use super::arguments::{ScalePlan, VOTERS};
 use super::changes::ChangeMaker;
@@ -47,7 +47,7 @@
 pub struct ScaleFleet {
     /// Voters first, then whole heads.
     pub harness: Harness,
-    /// The stand-in for discovery.
+    /// The emulated discovery service.
     pub discovery: DiscoveryProcess,
     /// The hollow heads, by their processes.
     pub hosts: Vec<HostProcess>,
--- a/crates/testbed/src/scale/statistics.rs
+++ b/crates/testbed/src/scale/statistics.rs
@@ -3,7 +3,7 @@
 use super::results::{Latency, Spread};
 use hdrhistogram::Histogram;
 
-/// The longest time that is told apart from a longer one, us.
+/// The longest time that a histogram distinguishes from a longer one, us.
 const LONGEST_US: u64 = 600_000_000;
 
 impl Spread {
--- a/crates/testbed/src/scale/steady.rs
+++ b/crates/testbed/src/scale/steady.rs
@@ -43,7 +43,7 @@
     let seconds = begun.elapsed().as_secs_f64();
     let after = Snapshot::take(fleet)?;
     let version = fleet.version;
-    // What is late is found in the figures; it does not end the run.
+    // What is overdue shows in the figures; it does not end the run.
     let _ = fleet.wait_for("changes in force", IN_FORCE_TIME, |report| report.version >= version);
     stop.check()?;
     let last = Snapshot::take(fleet)?;
@@ -91,7 +91,7 @@
     let hollow =
         hollow.into_iter().flat_map(|(version, times)| times.into_iter().map(move |time| (version, time)));
     let real: Vec<(u64, u64)> = watches.into_iter().flat_map(VersionWatch::end).collect();
-    // A head may act on a change before its settling is heard here.
+    // A head may act on a change before it is known here to be settled.
     let times = hollow
         .chain(real)
         .filter_map(|(version, at_us)| Some(at_us.saturating_sub(*settled_at.get(&version)?)));
--- a/crates/testbed/src/scale/stop.rs
+++ b/crates/testbed/src/scale/stop.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 use tokio::signal::unix::{SignalKind, signal};
 
-/// Between looks at the wish while a run waits for something.
+/// Time between checks of the request while a run waits for something.
 const POLL_EVERY: Duration = Duration::from_millis(20);
 
 /// Whether the run is to stop.
