--- a/crates/testbed/src/cluster_processes/measure.rs
+++ b/crates/testbed/src/cluster_processes/measure.rs
@@ -4,7 +4,7 @@
 use super::admin_client::AdminClient;
 use super::error::ClusterProcessError;
 use super::harness::Harness;
-use crate::process::Usage;
+use crate::process::ProcessUsage;
 use crate::report::table;
 use hdrhistogram::Histogram;
 use std::io::Write;
@@ -125,9 +125,9 @@
 }
 
 /// What each process of a cluster has taken of the machine by now.
-fn usages(harness: &Harness) -> Result<Vec<Usage>, ClusterProcessError> {
+fn usages(harness: &Harness) -> Result<Vec<ProcessUsage>, ClusterProcessError> {
     let processes = harness.up().into_iter().filter_map(|head| harness.process(head));
-    processes.map(|process| Ok(Usage::of(process)?)).collect()
+    processes.map(|process| Ok(ProcessUsage::of(process)?)).collect()
 }
 
 /// What heads take of the machine, idle and at 50 changes a second, with three voters among so many, as a table.
@@ -202,7 +202,7 @@
 }
 
 impl HeadCost {
-    fn between(before: &Usage, after: &Usage) -> HeadCost {
+    fn between(before: &ProcessUsage, after: &ProcessUsage) -> HeadCost {
         HeadCost { cpu_percent: after.cpu_percent_since(before), memory_bytes: after.memory_bytes }
     }
 }
--- a/crates/testbed/src/process.rs
+++ b/crates/testbed/src/process.rs
@@ -1,10 +1,10 @@
 //! Processes of a measurement: what they take of the machine, their end, and how many and how large they may be.
 
 use std::collections::BTreeSet;
-use std::fmt;
 use std::io;
 use std::process::{Child, ExitStatus};
 use std::time::{Duration, Instant};
+use thiserror::Error;
 
 /// The part of the machine's memory that all processes of a run may take.
 const MEMORY_PART: u64 = 2;
@@ -14,7 +14,7 @@
 
 /// What a process has taken of the machine by a moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Usage {
+pub struct ProcessUsage {
     /// When it was read.
     pub at: Instant,
     /// Processor time of all its threads that live, since their starts.
@@ -25,10 +25,10 @@
     pub descriptors: u64,
 }
 
-impl Usage {
+impl ProcessUsage {
     /// Reads the usage of a process of the same user.
-    pub fn of(process: u32) -> io::Result<Usage> {
-        Ok(Usage {
+    pub fn of(process: u32) -> io::Result<ProcessUsage> {
+        Ok(ProcessUsage {
             at: Instant::now(),
             cpu: cpu_time(process)?,
             memory_bytes: memory_bytes(process)?,
@@ -37,7 +37,7 @@
     }
 
     /// Processor time since an earlier reading, in percent of one core.
-    pub fn cpu_percent_since(&self, earlier: &Usage) -> f64 {
+    pub fn cpu_percent_since(&self, earlier: &ProcessUsage) -> f64 {
         let elapsed = self.at.saturating_duration_since(earlier.at).as_secs_f64();
         100.0 * self.cpu.saturating_sub(earlier.cpu).as_secs_f64() / elapsed.max(f64::EPSILON)
     }
@@ -75,18 +75,18 @@
 
 /// Memory of the machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Memory {
+pub struct MachineMemory {
     /// All of it, bytes.
     pub total_bytes: u64,
     /// What programs could take without swapping, bytes.
     pub available_bytes: u64,
 }
 
-impl Memory {
+impl MachineMemory {
     /// Reads that of this machine.
-    pub fn of_machine() -> io::Result<Memory> {
+    pub fn of_machine() -> io::Result<MachineMemory> {
         let field = |name| read_field("/proc/meminfo", name);
-        Ok(Memory { total_bytes: field("MemTotal:")?, available_bytes: field("MemAvailable:")? })
+        Ok(MachineMemory { total_bytes: field("MemTotal:")?, available_bytes: field("MemAvailable:")? })
     }
 }
 
@@ -153,7 +153,7 @@
 
 /// What a run is going to take of the machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Plan {
+pub struct ResourcePlan {
     /// Processes in all.
     pub processes: u64,
     /// Resident memory of all of them, bytes.
@@ -162,36 +162,37 @@
 
 /// What a run may take of the machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Limits {
+pub struct MachineLimits {
     /// The most processes.
     pub processes: u64,
     /// The most resident memory of all of them, bytes.
     pub memory_bytes: u64,
 }
 
-impl Limits {
+impl MachineLimits {
     /// The limits on this machine: half of its memory, and a few hundred processes.
-    pub fn of_machine() -> io::Result<Limits> {
-        let memory = Memory::of_machine()?;
-        Ok(Limits { processes: MAX_PROCESSES, memory_bytes: memory.total_bytes / MEMORY_PART })
+    pub fn of_machine() -> io::Result<MachineLimits> {
+        let memory = MachineMemory::of_machine()?;
+        Ok(MachineLimits { processes: MAX_PROCESSES, memory_bytes: memory.total_bytes / MEMORY_PART })
     }
 
     /// Refuses a plan that would go past a limit.
-    pub fn check(&self, plan: &Plan) -> Result<(), TooLarge> {
+    pub fn check(&self, plan: &ResourcePlan) -> Result<(), LimitExceeded> {
         if plan.processes > self.processes {
-            return Err(TooLarge::Processes { planned: plan.processes, limit: self.processes });
+            return Err(LimitExceeded::Processes { planned: plan.processes, limit: self.processes });
         }
         if plan.memory_bytes > self.memory_bytes {
-            return Err(TooLarge::Memory { planned: plan.memory_bytes, limit: self.memory_bytes });
+            return Err(LimitExceeded::Memory { planned: plan.memory_bytes, limit: self.memory_bytes });
         }
         Ok(())
     }
 }
 
 /// The limit that a plan would go past.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum TooLarge {
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub enum LimitExceeded {
     /// Too many processes.
+    #[error("the run needs {planned} processes, more than the limit of {limit}")]
     Processes {
         /// How many were planned.
         planned: u64,
@@ -199,6 +200,11 @@
         limit: u64,
     },
     /// Too much memory, bytes.
+    #[error(
+        "the run needs {} MiB of memory, more than half of this machine's: the limit is {} MiB",
+        .planned.div_ceil(MIB),
+        .limit / MIB
+    )]
     Memory {
         /// How much was planned.
         planned: u64,
@@ -206,21 +212,3 @@
         limit: u64,
     },
 }
-
-impl fmt::Display for TooLarge {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            TooLarge::Processes { planned, limit } => {
-                write!(f, "the run needs {planned} processes, more than the limit of {limit}")
-            }
-            TooLarge::Memory { planned, limit } => write!(
-                f,
-                "the run needs {} MiB of memory, more than half of this machine's: the limit is {} MiB",
-                planned.div_ceil(MIB),
-                limit / MIB
-            ),
-        }
-    }
-}
-
-impl std::error::Error for TooLarge {}
--- a/crates/testbed/src/scale/budget.rs
+++ b/crates/testbed/src/scale/budget.rs
@@ -3,7 +3,7 @@
 use super::arguments::{ScalePlan, VOTERS};
 use super::error::ScaleError;
 use super::scale_fleet::hosts_of;
-use crate::process::{Limits, Memory, Plan, descendants, memory_bytes};
+use crate::process::{MachineLimits, MachineMemory, ResourcePlan, descendants, memory_bytes};
 
 const KIB: u64 = 1 << 10;
 const MIB: u64 = 1 << 20;
@@ -34,11 +34,11 @@
 
 /// Refuses a size that by the estimates would go past a limit.
 pub fn check_size(plan: &ScalePlan, heads: u64, backends: u64) -> Result<(), ScaleError> {
-    let limits = Limits::of_machine().map_err(|error| ScaleError::failed("/proc/meminfo", error))?;
+    let limits = MachineLimits::of_machine().map_err(|error| ScaleError::failed("/proc/meminfo", error))?;
     let processes = 1 + 1 + VOTERS + plan.whole_heads + plan.relays + hosts_of(plan);
     let process_bytes = PROCESS_BYTES + backends * PROCESS_BACKEND_BYTES;
     let memory_bytes = processes * process_bytes + hollow_bytes(plan.hollow_heads(heads), backends);
-    let checked = limits.check(&Plan { processes, memory_bytes });
+    let checked = limits.check(&ResourcePlan { processes, memory_bytes });
     checked.map_err(|error| ScaleError::refused("--heads", error.to_string()))
 }
 
@@ -67,14 +67,14 @@
 /// past what is free now.
 pub fn check_growth(more_heads: u64, backends: u64) -> Result<(), ScaleError> {
     let failed = |error: std::io::Error| ScaleError::failed("/proc", error);
-    let limits = Limits::of_machine().map_err(failed)?;
+    let limits = MachineLimits::of_machine().map_err(failed)?;
     let processes = descendants().map_err(failed)?;
     // A process may end while the list is read.
     let taken: u64 = processes.iter().filter_map(|process| memory_bytes(*process).ok()).sum();
     let more = hollow_bytes(more_heads, backends);
-    let plan = Plan { processes: processes.len() as u64 + 1, memory_bytes: taken + more };
+    let plan = ResourcePlan { processes: processes.len() as u64 + 1, memory_bytes: taken + more };
     limits.check(&plan).map_err(|error| ScaleError::Failed(error.to_string()))?;
-    let free = Memory::of_machine().map_err(failed)?.available_bytes;
+    let free = MachineMemory::of_machine().map_err(failed)?.available_bytes;
     if more <= free {
         return Ok(());
     }
--- a/crates/testbed/src/scale/changes.rs
+++ b/crates/testbed/src/scale/changes.rs
@@ -17,7 +17,7 @@
 
 /// A settled change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Settled {
+pub struct SettledChange {
     /// The version of the store that holds it.
     pub version: u64,
     /// When it was known to be settled, us on the boot clock.
@@ -42,7 +42,7 @@
     }
 
     /// Makes a change, at whichever voter settles it first.
-    pub fn make(&mut self, stop: &StopRequest) -> Result<Settled, ScaleError> {
+    pub fn make(&mut self, stop: &StopRequest) -> Result<SettledChange, ScaleError> {
         let begun = Instant::now();
         self.made += 1;
         let export = format!("export{}", self.made % EXPORTS);
@@ -51,7 +51,7 @@
             stop.check()?;
             let voter = self.current % self.voters.len();
             if let Some(version) = self.voters[voter].put_version(TENANT, &export, &key) {
-                return Ok(Settled { version, at_us: now_us() });
+                return Ok(SettledChange { version, at_us: now_us() });
             }
             self.current += 1;
             std::thread::sleep(RETRY);
@@ -66,7 +66,7 @@
         per_second: f64,
         time: Duration,
         stop: &StopRequest,
-        mut said: impl FnMut(Settled),
+        mut said: impl FnMut(SettledChange),
     ) -> Result<(), ScaleError> {
         let begun = Instant::now();
         let count = (per_second * time.as_secs_f64()).floor() as u64;
--- a/crates/testbed/src/scale/data_path/command.rs
+++ b/crates/testbed/src/scale/data_path/command.rs
@@ -1,6 +1,6 @@
 //! The subcommand `data-path`: its arguments, its table and its file.
 
-use super::{DataPathPlan, HeadProgram, Unserved};
+use super::{DataPathPlan, HeadProgram, UnservedRequests};
 use crate::report::table;
 use crate::scale::error::ScaleError;
 use crate::scale::output::{self, OutputFile};
@@ -48,7 +48,7 @@
         match plan.measure(&own, &program, *count, &stop) {
             Ok((figures, unserved)) => {
                 eprintln!("{count} backends: {:.1} us a request", figures.cpu_us);
-                all_served &= unserved == Unserved(0);
+                all_served &= unserved == UnservedRequests(0);
                 rows.push(row(&figures, unserved));
                 results.data_path.push(figures);
             }
@@ -93,7 +93,7 @@
     "not served",
 ];
 
-fn row(figures: &DataPath, unserved: Unserved) -> Vec<String> {
+fn row(figures: &DataPath, unserved: UnservedRequests) -> Vec<String> {
     let connects = figures.connects_per_second / figures.requests_per_second.max(f64::EPSILON);
     vec![
         figures.backends.to_string(),
--- a/crates/testbed/src/scale/data_path/mod.rs
+++ b/crates/testbed/src/scale/data_path/mod.rs
@@ -12,7 +12,7 @@
 use super::error::ScaleError;
 use super::results::{DataPath, Latency};
 use super::stop::StopRequest;
-use crate::process::{Limits, Plan, Usage};
+use crate::process::{MachineLimits, ProcessUsage, ResourcePlan};
 use backends::Backends;
 use clients::{Clients, Window};
 use head::HeadProcess;
@@ -68,8 +68,9 @@
         }
         let largest = sizes.iter().copied().max().unwrap_or(0);
         let processes = (backends::processes_for(largest) + OTHER_PROCESSES) as u64;
-        let plan = Plan { processes, memory_bytes: processes * MEMORY_OF_PROCESS };
-        let limits = Limits::of_machine().map_err(|error| ScaleError::failed("/proc/meminfo", error))?;
+        let plan = ResourcePlan { processes, memory_bytes: processes * MEMORY_OF_PROCESS };
+        let limits =
+            MachineLimits::of_machine().map_err(|error| ScaleError::failed("/proc/meminfo", error))?;
         limits.check(&plan).map_err(|error| ScaleError::refused("--backends", error.to_string()))
     }
 
@@ -80,7 +81,7 @@
         program: &HeadProgram,
         count: usize,
         stop: &StopRequest,
-    ) -> Result<(DataPath, Unserved), ScaleError> {
+    ) -> Result<(DataPath, UnservedRequests), ScaleError> {
         let backends_failed = |error| ScaleError::failed("backends", error);
         let discovery_failed = |error| ScaleError::failed("discovery", error);
         let head_failed = |error| ScaleError::failed("head", error);
@@ -91,12 +92,12 @@
         head.wait_until_it_serves(count, stop)?;
         let clients = Clients::start(head.traffic(count), self.clients)?;
         stop.pause(WARM_UP)?;
-        let before = Usage::of(head.id()).map_err(head_failed)?;
+        let before = ProcessUsage::of(head.id()).map_err(head_failed)?;
         let connections_before = backends.connections().map_err(backends_failed)?;
         clients.open_window();
         stop.pause(Duration::from_secs(self.seconds))?;
         clients.close_window();
-        let after = Usage::of(head.id()).map_err(head_failed)?;
+        let after = ProcessUsage::of(head.id()).map_err(head_failed)?;
         let connections_after = backends.connections().map_err(backends_failed)?;
         let Window { times, not_served } = clients.end()?;
         let elapsed = after.at.saturating_duration_since(before.at).as_secs_f64();
@@ -117,10 +118,10 @@
                 most_ms: times.max() as f64 / 1e3,
             },
         };
-        Ok((measured, Unserved(not_served)))
+        Ok((measured, UnservedRequests(not_served)))
     }
 }
 
 /// Requests of a measurement that were answered with anything but 200; they count in no figure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Unserved(pub u64);
+pub struct UnservedRequests(pub u64);
--- a/crates/testbed/src/scale/discovery/catalog.rs
+++ b/crates/testbed/src/scale/discovery/catalog.rs
@@ -62,7 +62,7 @@
 
 /// An answer as it is written to a socket.
 #[derive(Clone, Debug)]
-pub struct Rendered {
+pub struct RenderedAnswer {
     /// The JSON text.
     pub body: Bytes,
     /// It holds the whole list.
@@ -201,10 +201,10 @@
     }
 
     /// The answer to a call that follows the list since a generation, or asks for the whole of it.
-    pub fn answer(&mut self, since: Option<u64>) -> Rendered {
+    pub fn answer(&mut self, since: Option<u64>) -> RenderedAnswer {
         match since.filter(|since| (self.oldest..=self.generation).contains(since)) {
-            Some(since) => Rendered { body: self.delta(since), whole: false },
-            None => Rendered { body: self.whole(), whole: true },
+            Some(since) => RenderedAnswer { body: self.delta(since), whole: false },
+            None => RenderedAnswer { body: self.whole(), whole: true },
         }
     }
 
--- a/crates/testbed/src/scale/error.rs
+++ b/crates/testbed/src/scale/error.rs
@@ -1,11 +1,13 @@
 //! What can end a scale run before its time.
 
 use std::fmt;
+use thiserror::Error;
 
 /// Why a scale run ended early.
-#[derive(Clone, Debug, PartialEq, Eq)]
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ScaleError {
     /// An argument that cannot be used; nothing was started and nothing was written.
+    #[error("{place}: {what}")]
     Refused {
         /// Where: an option of the command line, or a file.
         place: String,
@@ -13,8 +15,10 @@
         what: String,
     },
     /// The operator stopped it.
+    #[error("stopped")]
     Stopped,
     /// A process, or the machine, failed.
+    #[error("{0}")]
     Failed(String),
 }
 
@@ -29,15 +33,3 @@
         ScaleError::Failed(format!("{doing}: {error}"))
     }
 }
-
-impl fmt::Display for ScaleError {
-    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            ScaleError::Refused { place, what } => write!(formatter, "{place}: {what}"),
-            ScaleError::Stopped => formatter.write_str("stopped"),
-            ScaleError::Failed(what) => formatter.write_str(what),
-        }
-    }
-}
-
-impl std::error::Error for ScaleError {}
--- a/crates/testbed/src/scale/faults.rs
+++ b/crates/testbed/src/scale/faults.rs
@@ -1,7 +1,7 @@
 //! Faults at the largest size of a run: a zone is lost and returns at once, a region is cut off, the leader is
 //! killed, a backend is replaced, and those that serve many others are stopped.
 
-use super::changes::Settled;
+use super::changes::SettledChange;
 use super::error::ScaleError;
 use super::host_process::{HostProcess, reached, reports, tell_all};
 use super::protocol::{HeadReport, HostAnswer, HostCommand};
@@ -277,7 +277,7 @@
 }
 
 /// Makes the first change after a fault, and notes how long it took to settle.
-fn settle_again(fleet: &mut ScaleFleet, record: &mut Fault) -> Result<Settled, ScaleError> {
+fn settle_again(fleet: &mut ScaleFleet, record: &mut Fault) -> Result<SettledChange, ScaleError> {
     let begun = Instant::now();
     let settled = fleet.change()?;
     let elapsed = begun.elapsed();
@@ -293,7 +293,7 @@
 fn check_in_force(
     fleet: &mut ScaleFleet,
     record: &mut Fault,
-    settled: Settled,
+    settled: SettledChange,
     reachable: impl Fn(&HostProcess) -> bool,
 ) -> Result<(), ScaleError> {
     let real: Vec<usize> = fleet.harness.up();
--- a/crates/testbed/src/scale/hollow.rs
+++ b/crates/testbed/src/scale/hollow.rs
@@ -43,7 +43,7 @@
 pub type ReachedTimes = RefCell<BTreeMap<u64, Vec<u64>>>;
 
 /// What the heads of a process have in common.
-pub struct Surroundings {
+pub struct HostEnvironment {
     /// The settings of the process.
     pub spec: HostSpec,
     /// Their network.
@@ -77,7 +77,7 @@
     name: String,
     seed: u64,
     disk: MemoryDisk,
-    surroundings: Rc<Surroundings>,
+    environment: Rc<HostEnvironment>,
     running: RefCell<Option<Running>>,
     ready: Cell<Option<Ready>>,
     /// Payload in both directions when it was last sampled, and the most between two samples.
@@ -107,12 +107,12 @@
 
 impl HollowHead {
     /// A head that has never started.
-    pub fn new(name: String, seed: u64, surroundings: Rc<Surroundings>) -> HollowHead {
+    pub fn new(name: String, seed: u64, environment: Rc<HostEnvironment>) -> HollowHead {
         HollowHead {
             name,
             seed,
             disk: MemoryDisk::default(),
-            surroundings,
+            environment,
             running: RefCell::default(),
             ready: Cell::default(),
             sampled_bytes: Cell::default(),
@@ -130,11 +130,11 @@
         let started_us = now_us();
         self.ready.set(None);
         self.sampled_bytes.set(0);
-        let listener = self.surroundings.network.listen()?;
+        let listener = self.environment.network.listen()?;
         let address = listener.local_addr()?;
         let (disk, held) =
             open_in_simulator(self.disk.open(), || SYNC_TIME).map_err(HollowHeadError::cluster)?;
-        let dial = Arc::new(self.surroundings.network.clone());
+        let dial = Arc::new(self.environment.network.clone());
         let (settings, head) = (self.settings(address), self.name.clone());
         let setup = NodeSetup { settings, head, address, disk, held, dial };
         let node = Node::start(setup).await.map_err(HollowHeadError::cluster)?;
@@ -149,7 +149,7 @@
         discovery.take_known(known);
         let tenants = Rc::new(RefCell::new(config.operator.tenants.clone()));
         let tasks = [
-            spawn_local(accept(listener, self.surroundings.network.clone(), Rc::clone(&node))),
+            spawn_local(accept(listener, self.environment.network.clone(), Rc::clone(&node))),
             spawn_local(Rc::clone(&dispatch).run_timers()),
             spawn_local(apply_replicated_state(Rc::clone(&fleet), config, tenants, Rc::clone(&dispatch))),
             spawn_local(discovery.run(discovery_at)),
@@ -168,7 +168,7 @@
     }
 
     fn settings(&self, address: SocketAddr) -> Settings {
-        let spec = &self.surroundings.spec;
+        let spec = &self.environment.spec;
         Settings {
             name: spec.fleet.clone(),
             secret: spec.secret.clone(),
@@ -185,7 +185,7 @@
     }
 
     fn config(&self) -> Result<Config, HollowHeadError> {
-        let file = self.surroundings.spec.config.display().to_string();
+        let file = self.environment.spec.config.display().to_string();
         let read = Sources { config: file, operator: None }.read();
         let config = read.map_err(HollowHeadError::Config)?;
         Ok(Config { name: self.name.clone(), seed: self.seed, ..config })
@@ -198,7 +198,7 @@
         while versions.changed().await.is_ok() {
             let version = *versions.borrow_and_update();
             if self.ready.get().is_some() {
-                let (now, mut reached) = (now_us(), self.surroundings.reached.borrow_mut());
+                let (now, mut reached) = (now_us(), self.environment.reached.borrow_mut());
                 for version in last + 1..=version {
                     reached.entry(version).or_default().push(now);
                 }
--- a/crates/testbed/src/scale/host.rs
+++ b/crates/testbed/src/scale/host.rs
@@ -2,7 +2,7 @@
 //! input.
 
 use super::error::ScaleError;
-use super::hollow::{HollowHead, Surroundings};
+use super::hollow::{HollowHead, HostEnvironment};
 use super::json_lines::{print_line, read_lines};
 use super::network::ZoneNetwork;
 use super::protocol::{HeadReport, HostAnswer, HostCommand, HostSpec, ReadyWhen};
@@ -50,7 +50,7 @@
 
 /// The heads of one process.
 struct Host {
-    surroundings: Rc<Surroundings>,
+    environment: Rc<HostEnvironment>,
     heads: RefCell<Vec<Rc<HollowHead>>>,
     random: RefCell<ChaCha8Rng>,
     /// Why a head did not start.
@@ -61,8 +61,8 @@
     fn new(spec: HostSpec) -> Host {
         let network = ZoneNetwork::new(spec.region, spec.zone_number);
         let random = RefCell::new(ChaCha8Rng::seed_from_u64(spec.seed));
-        let surroundings = Rc::new(Surroundings { spec, network, reached: RefCell::default() });
-        Host { surroundings, heads: RefCell::default(), random, failure: RefCell::default() }
+        let environment = Rc::new(HostEnvironment { spec, network, reached: RefCell::default() });
+        Host { environment, heads: RefCell::default(), random, failure: RefCell::default() }
     }
 
     fn obey(self: &Rc<Self>, command: HostCommand) -> HostAnswer {
@@ -82,14 +82,14 @@
                 let stopped = self.heads.borrow().iter().filter(|head| !head.is_running()).cloned().collect();
                 self.start_all(stopped, within_ms, ready_when);
             }
-            HostCommand::Cut => self.surroundings.network.set_cut(true),
-            HostCommand::Heal => self.surroundings.network.set_cut(false),
+            HostCommand::Cut => self.environment.network.set_cut(true),
+            HostCommand::Heal => self.environment.network.set_cut(false),
             HostCommand::ResetPeaks => self.heads.borrow().iter().for_each(|head| head.reset_peak()),
             HostCommand::Report => {
                 let heads = self.heads.borrow();
                 return HostAnswer::Report(heads.iter().filter_map(|head| head.report()).collect());
             }
-            HostCommand::Reached => return HostAnswer::Reached(self.surroundings.reached.take()),
+            HostCommand::Reached => return HostAnswer::Reached(self.environment.reached.take()),
         }
         HostAnswer::Done
     }
@@ -102,9 +102,9 @@
 
     fn add_head(&self) -> Rc<HollowHead> {
         let mut heads = self.heads.borrow_mut();
-        let name = format!("{}{}", self.surroundings.spec.name_prefix, heads.len());
+        let name = format!("{}{}", self.environment.spec.name_prefix, heads.len());
         let seed = self.random.borrow_mut().random();
-        let head = Rc::new(HollowHead::new(name, seed, Rc::clone(&self.surroundings)));
+        let head = Rc::new(HollowHead::new(name, seed, Rc::clone(&self.environment)));
         heads.push(Rc::clone(&head));
         head
     }
--- a/crates/testbed/src/scale/measure.rs
+++ b/crates/testbed/src/scale/measure.rs
@@ -4,7 +4,7 @@
 use super::error::ScaleError;
 use super::results::{Cost, Role, Spread};
 use super::scale_fleet::ScaleFleet;
-use crate::process::Usage;
+use crate::process::ProcessUsage;
 use sedgerun_cluster::traffic::TrafficTotals;
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -20,7 +20,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Process {
     role: Role,
-    usage: Usage,
+    usage: ProcessUsage,
     counters: Counters,
 }
 
@@ -28,7 +28,7 @@
 #[derive(Clone, Copy, Debug)]
 struct SharedProcess {
     heads: u64,
-    usage: Usage,
+    usage: ProcessUsage,
 }
 
 /// All counters of a run at one time.
@@ -145,8 +145,8 @@
     }
 }
 
-fn usage(process: u32) -> Result<Usage, ScaleError> {
-    Usage::of(process).map_err(|error| ScaleError::failed("a process has ended", error))
+fn usage(process: u32) -> Result<ProcessUsage, ScaleError> {
+    ProcessUsage::of(process).map_err(|error| ScaleError::failed("a process has ended", error))
 }
 
 /// What one member takes of the machine.
@@ -159,7 +159,7 @@
 
 impl Load {
     /// The even part of one of so many members of a process.
-    fn between(before: &Usage, after: &Usage, members: u64) -> Load {
+    fn between(before: &ProcessUsage, after: &ProcessUsage, members: u64) -> Load {
         let members = members.max(1) as f64;
         Load {
             cpu_percent: after.cpu_percent_since(before) / members,
--- a/crates/testbed/src/scale/output.rs
+++ b/crates/testbed/src/scale/output.rs
@@ -2,7 +2,7 @@
 
 use super::error::ScaleError;
 use super::results::{FORMAT, Machine, ScaleResults};
-use crate::process::Memory;
+use crate::process::MachineMemory;
 use std::io::Write;
 use std::path::{Path, PathBuf};
 use std::process::Command;
@@ -12,7 +12,7 @@
 
 /// The machine that this is.
 pub fn machine() -> Result<Machine, ScaleError> {
-    let memory = Memory::of_machine().map_err(|error| ScaleError::failed("/proc/meminfo", error))?;
+    let memory = MachineMemory::of_machine().map_err(|error| ScaleError::failed("/proc/meminfo", error))?;
     let cores = std::thread::available_parallelism().map_or(1, |cores| cores.get() as u64);
     let kernel = std::fs::read_to_string("/proc/sys/kernel/osrelease");
     let kernel = kernel.map_or_else(|_| UNKNOWN.to_owned(), |text| text.trim().to_owned());
--- a/crates/testbed/src/scale/scale_fleet.rs
+++ b/crates/testbed/src/scale/scale_fleet.rs
@@ -163,7 +163,7 @@
     }
 
     /// Makes a change, and takes note of its version.
-    pub fn change(&mut self) -> Result<super::changes::Settled, ScaleError> {
+    pub fn change(&mut self) -> Result<super::changes::SettledChange, ScaleError> {
         let settled = self.changes.make(&self.stop)?;
         self.version = settled.version;
         Ok(settled)
--- a/crates/testbed/src/scale/steady.rs
+++ b/crates/testbed/src/scale/steady.rs
@@ -1,6 +1,6 @@
 //! Steady load: a size of the fleet, a list of backends and a rate of changes, measured for some seconds.
 
-use super::changes::Settled;
+use super::changes::SettledChange;
 use super::error::ScaleError;
 use super::host_process::reached;
 use super::measure::Snapshot;
@@ -65,8 +65,8 @@
     fleet: &mut ScaleFleet,
     changes_per_second: f64,
     watches: &[VersionWatch],
-) -> Result<Vec<Settled>, ScaleError> {
-    let (mut all, mut watched): (Vec<Settled>, Option<Instant>) = (Vec::new(), None);
+) -> Result<Vec<SettledChange>, ScaleError> {
+    let (mut all, mut watched): (Vec<SettledChange>, Option<Instant>) = (Vec::new(), None);
     let stop = fleet.stop.clone();
     fleet.changes.run(changes_per_second, measured(changes_per_second), &stop, |settled| {
         all.push(settled);
@@ -82,7 +82,7 @@
 /// From the settling of each change until heads acted on it.
 fn in_force(
     fleet: &mut ScaleFleet,
-    settled: &[Settled],
+    settled: &[SettledChange],
     watches: Vec<VersionWatch>,
 ) -> Result<Option<Latency>, ScaleError> {
     let settled_at: BTreeMap<u64, u64> =
