--- a/crates/testbed/src/capacity/estimate.rs
+++ b/crates/testbed/src/capacity/estimate.rs
@@ -54,7 +54,7 @@
     }
 
     /// The smallest factor of the target size (heads, backends and changes together) at which the budget is exceeded,
-    /// from a hundredth on; `None` where none up to [`MAX_FACTOR`] does.
+    /// from a hundredth on; `None` where none up to `MAX_FACTOR` does.
     pub fn breaking_factor(&self) -> Option<f64> {
         let (fit, budget) = (self.most.as_ref().ok()?, self.budget?);
         let at = |factor: f64| {
--- a/crates/testbed/src/cluster_simulator/mod.rs
+++ b/crates/testbed/src/cluster_simulator/mod.rs
@@ -2,8 +2,8 @@
 //! disks, a network, a clock and random numbers of the simulator, in virtual time. Faults are injected by a seed; an
 //! auditor watches that nothing acknowledged is missing, no term has two leaders, and no reader's version goes back.
 //!
-//! [`run`] plays the runs and sums them up in a [`report`]; [`heads`] are the nodes on their disks
-//! ([`simulated_disk`]) and their [`network`], [`fault_schedule`] says which [`fault`] comes when, and [`client`] makes
+//! `run` plays the runs and sums them up in a `report`; `heads` are the nodes on their disks
+//! (`simulated_disk`) and their `network`, `fault_schedule` says which `fault` comes when, and `client` makes
 //! changes and reads.
 
 mod auditor;
--- a/crates/testbed/src/drawn_scenario/platform_settings.rs
+++ b/crates/testbed/src/drawn_scenario/platform_settings.rs
@@ -25,7 +25,7 @@
 fn class_settings(class: &ClassSpec) -> Value {
     json!({"name": class.name, "goalTime": class.latency_objective_ms * 1e3,
         "deadline": class.deadline_ms * 1e3, "repeat": if class.is_idempotent { "free" } else { "single_shot" },
-        "group": "all", "worth": class.priority_weight, "lateWorth": class.late_fraction, "streaming": false,
+        "group": "all", "worth": class.priority_weight, "lateWorth": class.past_objective_fraction, "streaming": false,
         "dedupWindow": 0})
 }
 
--- a/crates/testbed/src/figures.rs
+++ b/crates/testbed/src/figures.rs
@@ -17,7 +17,7 @@
     /// Served within the latency objective.
     InTime,
     /// Served after it.
-    Late,
+    PastObjective,
     /// Rejected.
     Rejected,
     /// Failed.
@@ -32,7 +32,7 @@
     /// All, with their names.
     pub const ALL: [(RequestResult, &'static str); 6] = [
         (RequestResult::InTime, "in time"),
-        (RequestResult::Late, "late"),
+        (RequestResult::PastObjective, "late"),
         (RequestResult::Rejected, "refused"),
         (RequestResult::Failed, "failed"),
         (RequestResult::Lost, "lost"),
@@ -132,7 +132,7 @@
         let weight = class.priority_weight * scenario.plans[record.plan].price * f64::from(record.units);
         let earned = match record.result {
             RequestResult::InTime => weight,
-            RequestResult::Late => weight * class.late_fraction,
+            RequestResult::PastObjective => weight * class.past_objective_fraction,
             _ => 0.0,
         };
         let second = ((record.at / 1_000_000) as usize).min(self.seconds.len() - 1);
@@ -144,7 +144,7 @@
         for (count, (result, _)) in self.results.iter_mut().zip(RequestResult::ALL) {
             *count += u64::from(result == record.result);
         }
-        if matches!(record.result, RequestResult::InTime | RequestResult::Late)
+        if matches!(record.result, RequestResult::InTime | RequestResult::PastObjective)
             && let Some(latency) = self.latency.get_mut(record.class)
         {
             latency.saturating_record(record.latency.max(1));
--- a/crates/testbed/src/scale/hollow.rs
+++ b/crates/testbed/src/scale/hollow.rs
@@ -211,8 +211,8 @@
         loop {
             let bytes_in = self.running.borrow().as_ref().and_then(|running| running.ready(ready_when));
             if let Some(bytes_in) = bytes_in {
-                let took_ms = (now_us() - started_us) as f64 / 1000.0;
-                self.ready.set(Some(Ready { took_ms, bytes_in }));
+                let elapsed_ms = (now_us() - started_us) as f64 / 1000.0;
+                self.ready.set(Some(Ready { elapsed_ms, bytes_in }));
                 return;
             }
             tokio::time::sleep(READY_POLL).await;
--- a/crates/testbed/src/scale/mod.rs
+++ b/crates/testbed/src/scale/mod.rs
@@ -1,9 +1,9 @@
 //! Scale runs: hollow heads beside real ones on loopback, and what each role costs at growing sizes.
 //!
-//! [`orchestrator`] takes the steps of a run one after the other: it grows the fleet ([`scale_fleet`]), measures
-//! steady loads ([`steady`]) and injects faults ([`faults`]), and leaves a record ([`results`]). Hollow heads
-//! ([`hollow`]) live by the hundred in host processes ([`host`]) that take their commands as JSON lines
-//! ([`protocol`]).
+//! `orchestrator` takes the steps of a run one after the other: it grows the fleet (`scale_fleet`), measures
+//! steady loads (`steady`) and injects faults (`faults`), and leaves a record (`results`). Hollow heads
+//! (`hollow`) live by the hundred in host processes (`host`) that take their commands as JSON lines
+//! (`protocol`).
 
 pub mod arguments;
 pub mod boot_clock;
--- a/crates/testbed/src/scale/protocol.rs
+++ b/crates/testbed/src/scale/protocol.rs
@@ -121,7 +121,8 @@
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct Ready {
     /// From its start, ms.
-    pub took_ms: f64,
+    #[serde(rename = "took_ms")]
+    pub elapsed_ms: f64,
     /// Payload received until then, bytes.
     pub bytes_in: u64,
 }
--- a/crates/testbed/src/scale/starts.rs
+++ b/crates/testbed/src/scale/starts.rs
@@ -26,7 +26,7 @@
         heads: fleet.heads(),
         backends: fleet.backends,
         started: started.len() as u64,
-        ready: Latency::of_us(ready().map(|ready| (ready.took_ms * 1000.0) as u64))?,
+        ready: Latency::of_us(ready().map(|ready| (ready.elapsed_ms * 1000.0) as u64))?,
         bytes_in: Spread::of(ready().map(|ready| ready.bytes_in as f64)),
     })
 }
--- a/crates/testbed/src/scenario/mod.rs
+++ b/crates/testbed/src/scenario/mod.rs
@@ -28,7 +28,7 @@
     /// Its priority weight: what an answer in time earns.
     pub priority_weight: f64,
     /// Part of the weight that an answer past the objective earns.
-    pub late_fraction: f64,
+    pub past_objective_fraction: f64,
     /// Whether it may run more than once.
     pub is_idempotent: bool,
 }
@@ -219,7 +219,7 @@
             latency_objective_ms: 1200.0,
             deadline_ms: 4000.0,
             priority_weight: 1.0,
-            late_fraction: 0.25,
+            past_objective_fraction: 0.25,
             is_idempotent: true,
         }
     }
--- a/crates/testbed/src/scenario/settings.rs
+++ b/crates/testbed/src/scenario/settings.rs
@@ -254,7 +254,7 @@
             "aim-ms" => Number(&mut self.latency_objective_ms, 1.0, 60_000.0),
             "deadline-ms" => Number(&mut self.deadline_ms, 50.0, 60_000.0),
             "worth" => Number(&mut self.priority_weight, 0.0, 1000.0),
-            "late" => Number(&mut self.late_fraction, 0.0, 1.0),
+            "late" => Number(&mut self.past_objective_fraction, 0.0, 1.0),
             "repeat" => Flag(&mut self.is_idempotent),
             _ => return None,
         })
--- a/crates/testbed/src/simulator/clients.rs
+++ b/crates/testbed/src/simulator/clients.rs
@@ -91,9 +91,9 @@
         let arrival = self.arrival(client_attempt);
         let class = &self.drawn.settings.classes[usize::from(arrival.class)];
         let latency = self.now - START - arrival.at;
-        let is_late = answer.result == RequestResult::InTime && latency > class.latency_objective;
-        let result = if is_late { RequestResult::Late } else { answer.result };
-        let is_served = matches!(result, RequestResult::InTime | RequestResult::Late);
+        let is_past_objective = answer.result == RequestResult::InTime && latency > class.latency_objective;
+        let result = if is_past_objective { RequestResult::PastObjective } else { answer.result };
+        let is_served = matches!(result, RequestResult::InTime | RequestResult::PastObjective);
         if result != RequestResult::Lost {
             let kind = if is_served { AnswerKind::Served(answer.ticket) } else { AnswerKind::NotServed };
             self.auditor.answered(self.now, u64::from(client_attempt), kind);
--- a/crates/testbed/src/sockets/clients.rs
+++ b/crates/testbed/src/sockets/clients.rs
@@ -78,8 +78,8 @@
         let (result, latency) = loop {
             let end = self.attempt(index, arrival, deadline).await;
             let latency = test_bed.now().saturating_sub(arrival.at);
-            let is_late = end.result == RequestResult::InTime && latency > class.latency_objective;
-            let result = if is_late { RequestResult::Late } else { end.result };
+            let is_past_objective = end.result == RequestResult::InTime && latency > class.latency_objective;
+            let result = if is_past_objective { RequestResult::PastObjective } else { end.result };
             let wait = self.retry_wait(end.retry_after);
             let wait = wait.filter(|_| !is_retry && self.may_retry(arrival, result));
             match wait.filter(|wait| test_bed.now() + wait + class.latency_objective / 4 < deadline) {
@@ -96,7 +96,7 @@
 
     fn may_retry(&self, arrival: &Arrival, result: RequestResult) -> bool {
         match result {
-            RequestResult::InTime | RequestResult::Late | RequestResult::NoAnswer => false,
+            RequestResult::InTime | RequestResult::PastObjective | RequestResult::NoAnswer => false,
             RequestResult::Rejected => true,
             RequestResult::Failed | RequestResult::Lost => self.class_of(arrival).is_idempotent,
         }
--- a/crates/testbed/src/sockets/mod.rs
+++ b/crates/testbed/src/sockets/mod.rs
@@ -1,8 +1,8 @@
 //! The test bed on sockets: a scenario against real `sedgerun` processes on loopback, over HTTP and 9P. Backends run the
 //! same model as in the simulator, in real time; discovery speaks the platform's protocol.
 //!
-//! All parts share one [`test_bed`], on one thread. [`run`] starts the emulated backends ([`listeners`], [`backends`]),
-//! the discovery server ([`discovery`]) and the heads ([`heads`]), and plays the requests of the [`clients`] and the
+//! All parts share one `test_bed`, on one thread. `run` starts the emulated backends (`listeners`, `backends`),
+//! the discovery server (`discovery`) and the heads (`heads`), and plays the requests of the `clients` and the
 //! script.
 
 mod backends;
