--- a/crates/testbed/src/scale/hollow.rs
+++ b/crates/testbed/src/scale/hollow.rs
@@ -15,13 +15,16 @@
 use sedgerun_cluster::disk::open_in_simulator;
 use sedgerun_cluster::node::{Node, NodeSetup};
 use sedgerun_cluster::settings::{DEFAULT_SOCKETS, Settings};
+use sedgerun_config::Faults;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
+use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
+use thiserror::Error;
 use tokio::net::TcpListener;
 use tokio::runtime::Handle;
 use tokio::sync::watch;
@@ -31,7 +34,7 @@
 const SYNC_TIME: Duration = Duration::from_millis(2);
 /// Descriptors of a relay, so that it has room for as many followers as a relay ever takes.
 const RELAY_SOCKETS: usize = 2048;
-/// Between looks at whether a head that starts is ready.
+/// Time between checks whether a head that starts is ready.
 const READY_POLL: Duration = Duration::from_millis(20);
 /// Wait after a connection that could not be accepted.
 const ACCEPT_RETRY: Duration = Duration::from_millis(20);
@@ -40,8 +43,8 @@
 pub type ReachedTimes = RefCell<BTreeMap<u64, Vec<u64>>>;
 
 /// What the heads of a process have in common.
-pub struct Surroundings {
-    /// What the process was told.
+pub struct HostEnvironment {
+    /// The settings of the process.
     pub spec: HostSpec,
     /// Their network.
     pub network: ZoneNetwork,
@@ -49,12 +52,32 @@
     pub reached: ReachedTimes,
 }
 
+/// Why a hollow head does not start.
+#[derive(Debug, Error)]
+pub enum HollowHeadError {
+    /// Its listener cannot be used.
+    #[error("{0}")]
+    Listener(#[from] io::Error),
+    /// Its configuration is not valid.
+    #[error("{0}")]
+    Config(Faults),
+    /// The cluster's own reason.
+    #[error("{0}")]
+    Cluster(String),
+}
+
+impl HollowHeadError {
+    fn cluster(reason: impl ToString) -> HollowHeadError {
+        HollowHeadError::Cluster(reason.to_string())
+    }
+}
+
 /// One hollow head.
 pub struct HollowHead {
     name: String,
     seed: u64,
     disk: MemoryDisk,
-    surroundings: Rc<Surroundings>,
+    environment: Rc<HostEnvironment>,
     running: RefCell<Option<Running>>,
     ready: Cell<Option<Ready>>,
     /// Payload in both directions when it was last sampled, and the most between two samples.
@@ -84,12 +107,12 @@
 
 impl HollowHead {
     /// A head that has never started.
-    pub fn new(name: String, seed: u64, surroundings: Rc<Surroundings>) -> HollowHead {
+    pub fn new(name: String, seed: u64, environment: Rc<HostEnvironment>) -> HollowHead {
         HollowHead {
             name,
             seed,
             disk: MemoryDisk::default(),
-            surroundings,
+            environment,
             running: RefCell::default(),
             ready: Cell::default(),
             sampled_bytes: Cell::default(),
@@ -103,18 +126,18 @@
     }
 
     /// Starts it with what its disk holds.
-    pub async fn start(self: Rc<Self>, ready_when: ReadyWhen) -> Result<(), String> {
+    pub async fn start(self: Rc<Self>, ready_when: ReadyWhen) -> Result<(), HollowHeadError> {
         let started_us = now_us();
         self.ready.set(None);
         self.sampled_bytes.set(0);
-        let listener = self.surroundings.network.listen().map_err(|error| error.to_string())?;
-        let address = listener.local_addr().map_err(|error| error.to_string())?;
-        let read = open_in_simulator(self.disk.open(), || SYNC_TIME);
-        let (disk, opened) = read.map_err(|error| error.to_string())?;
-        let dial = Arc::new(self.surroundings.network.clone());
+        let listener = self.environment.network.listen()?;
+        let address = listener.local_addr()?;
+        let (disk, opened) =
+            open_in_simulator(self.disk.open(), || SYNC_TIME).map_err(HollowHeadError::cluster)?;
+        let dial = Arc::new(self.environment.network.clone());
         let (settings, head) = (self.settings(address), self.name.clone());
-        let node = Node::start(NodeSetup { settings, head, address, disk, opened, dial }).await;
-        let node = node.map_err(|error| error.to_string())?;
+        let setup = NodeSetup { settings, head, address, disk, opened, dial };
+        let node = Node::start(setup).await.map_err(HollowHeadError::cluster)?;
         let fleet = Rc::new(ClusterHandle::of(&node));
         let mut config = self.config()?;
         let known = config.cached_list.take();
@@ -126,7 +149,7 @@
         discovery.load_cached(known);
         let tenants = Rc::new(RefCell::new(config.operator.tenants.clone()));
         let tasks = [
-            spawn_local(accept(listener, self.surroundings.network.clone(), Rc::clone(&node))),
+            spawn_local(accept(listener, self.environment.network.clone(), Rc::clone(&node))),
             spawn_local(Rc::clone(&dispatch).run_timers()),
             spawn_local(apply_replicated_state(Rc::clone(&fleet), config, tenants, Rc::clone(&dispatch))),
             spawn_local(discovery.run(discovery_at)),
@@ -145,7 +168,7 @@
     }
 
     fn settings(&self, address: SocketAddr) -> Settings {
-        let spec = &self.surroundings.spec;
+        let spec = &self.environment.spec;
         Settings {
             name: spec.fleet.clone(),
             secret: spec.secret.clone(),
@@ -161,26 +184,26 @@
         }
     }
 
-    fn config(&self) -> Result<Config, String> {
-        let file = self.surroundings.spec.config.display().to_string();
+    fn config(&self) -> Result<Config, HollowHeadError> {
+        let file = self.environment.spec.config.display().to_string();
         let read = Sources { config: file, operator: None }.read();
-        let config = read.map_err(|faults| faults.to_string())?;
+        let config = read.map_err(HollowHeadError::Config)?;
         Ok(Config { name: self.name.clone(), seed: self.seed, ..config })
     }
 
-    /// Notes when it comes to act on versions, once it is ready: what it lacks at its start is not late.
+    /// Notes when it comes to act on versions, once it is ready: what it lacks at its start is not overdue.
     async fn watch_versions(self: Rc<Self>, fleet: Rc<ClusterHandle>) {
         let mut versions = fleet.in_force();
-        let mut held = *versions.borrow_and_update();
+        let mut last = *versions.borrow_and_update();
         while versions.changed().await.is_ok() {
             let version = *versions.borrow_and_update();
             if self.ready.get().is_some() {
-                let (now, mut reached) = (now_us(), self.surroundings.reached.borrow_mut());
-                for version in held + 1..=version {
+                let (now, mut reached) = (now_us(), self.environment.reached.borrow_mut());
+                for version in last + 1..=version {
                     reached.entry(version).or_default().push(now);
                 }
             }
-            held = version;
+            last = version;
         }
     }
 
@@ -188,8 +211,8 @@
         loop {
             let bytes_in = self.running.borrow().as_ref().and_then(|running| running.ready(ready_when));
             if let Some(bytes_in) = bytes_in {
-                let took_ms = (now_us() - started_us) as f64 / 1000.0;
-                self.ready.set(Some(Ready { took_ms, bytes_in }));
+                let elapsed_ms = (now_us() - started_us) as f64 / 1000.0;
+                self.ready.set(Some(Ready { elapsed_ms, bytes_in }));
                 return;
             }
             tokio::time::sleep(READY_POLL).await;
