--- a/crates/config/src/form.rs
+++ b/crates/config/src/form.rs
@@ -97,9 +97,9 @@
 fn read_form(datum: Ref<'_>, depth: usize) -> Result<Form, Faults> {
     let place = place_of(datum);
     let mut parts = datum.list_iter().ok_or_else(|| fault_at(place, "a form is a list"))?;
-    let name = match parts.next().map(|name| read_item(name, depth + 1)).transpose()? {
-        Some(Item::Atom(name, _)) => name,
-        _ => return Err(fault_at(place, "a form begins with its name")),
+    let first_item = parts.next().map(|part| read_item(part, depth + 1)).transpose()?;
+    let Some(Item::Atom(name, _)) = first_item else {
+        return Err(fault_at(place, "a form begins with its name"));
     };
     let mut items = Vec::new();
     // Where the last item ended, if that was an atom.
--- a/crates/testbed/src/cluster_processes/harness.rs
+++ b/crates/testbed/src/cluster_processes/harness.rs
@@ -130,7 +130,7 @@
         }
         let settings = harness.settings(0)?;
         harness.until("the fleet begins", |_| client::begin(&settings, "n0").ok())?;
-        harness.until("a leader", |harness| harness.leader())?;
+        harness.until("a leader", Harness::leader)?;
         Ok(harness)
     }
 
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -165,7 +165,7 @@
 pub fn write_page(folder: &Path) -> Result<String, ReportError> {
     let mut groups: BTreeMap<String, Vec<Value>> = BTreeMap::new();
     let mut names: Vec<_> = std::fs::read_dir(folder)?.collect::<Result<Vec<_>, _>>()?;
-    names.sort_by_key(|entry| entry.file_name());
+    names.sort_by_key(std::fs::DirEntry::file_name);
     for entry in names {
         let path = entry.path();
         if path.extension().is_some_and(|extension| extension == "json") {
--- a/crates/testbed/src/scale/hollow.rs
+++ b/crates/testbed/src/scale/hollow.rs
@@ -156,7 +156,7 @@
             spawn_local(Rc::clone(&self).watch_versions(Rc::clone(&fleet))),
             spawn_local(Rc::clone(&self).watch_ready(started_us, ready_when)),
         ];
-        let tasks = tasks.iter().map(|task| task.abort_handle()).collect();
+        let tasks = tasks.iter().map(tokio::task::JoinHandle::abort_handle).collect();
         self.running.replace(Some(Running { fleet, dispatch, node, tasks, _discovery: moves }));
         Ok(())
     }
--- a/crates/testbed/src/scale/table.rs
+++ b/crates/testbed/src/scale/table.rs
@@ -9,16 +9,16 @@
 /// All tables of a run's results, as text.
 pub fn tables(results: &ScaleResults) -> String {
     let mut text = Vec::new();
-    text.push(table(&POINT_HEADER, results.points.iter().flat_map(point_rows).collect()).to_string());
+    text.push(table(&POINT_HEADER, results.points.iter().flat_map(point_rows).collect()).clone());
     let fidelity: Vec<Vec<String>> = results.points.iter().flat_map(fidelity_rows).collect();
     if !fidelity.is_empty() {
         text.push(table(&FIDELITY_HEADER, fidelity));
     }
     if !results.starts.is_empty() {
-        text.push(table(&START_HEADER, results.starts.iter().map(start_row).collect()).to_string());
+        text.push(table(&START_HEADER, results.starts.iter().map(start_row).collect()).clone());
     }
     if !results.faults.is_empty() {
-        text.push(table(&FAULT_HEADER, results.faults.iter().map(fault_row).collect()).to_string());
+        text.push(table(&FAULT_HEADER, results.faults.iter().map(fault_row).collect()).clone());
     }
     let failures = results
         .faults
--- a/crates/testbed/src/simulator/heads.rs
+++ b/crates/testbed/src/simulator/heads.rs
@@ -62,7 +62,7 @@
         let state = &mut self.heads[head];
         if state.incarnation == incarnation && state.armed_at == self.now {
             state.armed_at = Micros::MAX;
-            self.with_dispatcher(head, |dispatcher, now| dispatcher.run_due_timers(now));
+            self.with_dispatcher(head, sedgerun_dispatch::Dispatcher::run_due_timers);
         }
     }
 
--- a/crates/testbed/tests/sockets.rs
+++ b/crates/testbed/tests/sockets.rs
@@ -24,7 +24,12 @@
     let due = simulate(&scenario, 1, None).expect("a result")["requests"].as_u64();
     assert_eq!(result["requests"].as_u64(), due, "every request of the morning came to an end");
     let last = |slot: usize| {
-        result["boxes"][slot].as_array().expect("a list").iter().skip(4).filter_map(|n| n.as_u64())
+        result["boxes"][slot]
+            .as_array()
+            .expect("a list")
+            .iter()
+            .skip(4)
+            .filter_map(serde_json::value::Value::as_u64)
     };
     assert!((0..4).all(|slot| last(slot).sum::<u64>() > 0), "all are back at work: {}", result["boxes"]);
     // What drains is heard: the box that does for a second gets next to nothing while it does.
