--- a/crates/testbed/src/scale/changes.rs
+++ b/crates/testbed/src/scale/changes.rs
@@ -3,12 +3,12 @@
 use super::boot_clock::now_us;
 use super::error::ScaleError;
 use super::stop::StopRequest;
-use crate::fleet::harness::Caller;
+use crate::cluster_processes::admin_client::AdminClient;
 use std::time::{Duration, Instant};
 
 /// The tenant whose exports are changed.
 pub const TENANT: &str = "scale";
-/// Exports that are changed in turn, so that what is held stays the same size.
+/// Exports that are changed in turn, so that the state stays the same size.
 const EXPORTS: u64 = 8;
 /// A change that is not settled by then is given up: the time in which a change of primary must be over.
 const SETTLE_TIME: Duration = Duration::from_secs(13);
@@ -17,17 +17,17 @@
 
 /// A settled change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Settled {
+pub struct SettledChange {
     /// The version of the store that holds it.
     pub version: u64,
-    /// When its settling was heard, us on the boot clock.
+    /// When it was known to be settled, us on the boot clock.
     pub at_us: u64,
 }
 
 /// Makes changes, one after the other.
 pub struct ChangeMaker {
     /// A caller of each voter.
-    voters: Vec<Caller>,
+    voters: Vec<AdminClient>,
     /// The voter that settled the last change.
     current: usize,
     made: u64,
@@ -37,12 +37,12 @@
 
 impl ChangeMaker {
     /// Makes changes at these voters.
-    pub fn new(voters: Vec<Caller>) -> ChangeMaker {
+    pub fn new(voters: Vec<AdminClient>) -> ChangeMaker {
         ChangeMaker { voters, current: 0, made: 0, run: now_us() }
     }
 
     /// Makes a change, at whichever voter settles it first.
-    pub fn make(&mut self, stop: &StopRequest) -> Result<Settled, ScaleError> {
+    pub fn make(&mut self, stop: &StopRequest) -> Result<SettledChange, ScaleError> {
         let begun = Instant::now();
         self.made += 1;
         let export = format!("export{}", self.made % EXPORTS);
@@ -51,7 +51,7 @@
             stop.check()?;
             let voter = self.current % self.voters.len();
             if let Some(version) = self.voters[voter].put_version(TENANT, &export, &key) {
-                return Ok(Settled { version, at_us: now_us() });
+                return Ok(SettledChange { version, at_us: now_us() });
             }
             self.current += 1;
             std::thread::sleep(RETRY);
@@ -66,7 +66,7 @@
         per_second: f64,
         time: Duration,
         stop: &StopRequest,
-        mut said: impl FnMut(Settled),
+        mut said: impl FnMut(SettledChange),
     ) -> Result<(), ScaleError> {
         let begun = Instant::now();
         let count = (per_second * time.as_secs_f64()).floor() as u64;
--- a/crates/testbed/src/scale/steady.rs
+++ b/crates/testbed/src/scale/steady.rs
@@ -1,6 +1,6 @@
 //! Steady load: a size of the fleet, a list of backends and a rate of changes, measured for some seconds.
 
-use super::changes::Settled;
+use super::changes::SettledChange;
 use super::error::ScaleError;
 use super::host_process::reached;
 use super::measure::Snapshot;
@@ -34,7 +34,8 @@
     let stop = fleet.stop.clone();
     stop.pause(SETTLING)?;
     reached(&mut fleet.hosts)?;
-    let watches = fleet.harness.up().into_iter().map(|head| VersionWatch::start(fleet.harness.caller(head)));
+    let watches =
+        fleet.harness.up().into_iter().map(|head| VersionWatch::start(fleet.harness.admin_client(head)));
     let watches: Vec<VersionWatch> = watches.collect();
     let before = Snapshot::take(fleet)?;
     let begun = Instant::now();
@@ -42,7 +43,7 @@
     let seconds = begun.elapsed().as_secs_f64();
     let after = Snapshot::take(fleet)?;
     let version = fleet.version;
-    // What is late is found in the figures; it does not end the run.
+    // What is overdue shows in the figures; it does not end the run.
     let _ = fleet.wait_for("changes in force", IN_FORCE_TIME, |report| report.version >= version);
     stop.check()?;
     let last = Snapshot::take(fleet)?;
@@ -64,8 +65,8 @@
     fleet: &mut ScaleFleet,
     changes_per_second: f64,
     watches: &[VersionWatch],
-) -> Result<Vec<Settled>, ScaleError> {
-    let (mut all, mut watched): (Vec<Settled>, Option<Instant>) = (Vec::new(), None);
+) -> Result<Vec<SettledChange>, ScaleError> {
+    let (mut all, mut watched): (Vec<SettledChange>, Option<Instant>) = (Vec::new(), None);
     let stop = fleet.stop.clone();
     fleet.changes.run(changes_per_second, measured(changes_per_second), &stop, |settled| {
         all.push(settled);
@@ -81,7 +82,7 @@
 /// From the settling of each change until heads acted on it.
 fn in_force(
     fleet: &mut ScaleFleet,
-    settled: &[Settled],
+    settled: &[SettledChange],
     watches: Vec<VersionWatch>,
 ) -> Result<Option<Latency>, ScaleError> {
     let settled_at: BTreeMap<u64, u64> =
@@ -90,7 +91,7 @@
     let hollow =
         hollow.into_iter().flat_map(|(version, times)| times.into_iter().map(move |time| (version, time)));
     let real: Vec<(u64, u64)> = watches.into_iter().flat_map(VersionWatch::end).collect();
-    // A head may act on a change before its settling is heard here.
+    // A head may act on a change before it is known here to be settled.
     let times = hollow
         .chain(real)
         .filter_map(|(version, at_us)| Some(at_us.saturating_sub(*settled_at.get(&version)?)));
