--- a/crates/cluster/src/change/batch.rs
+++ b/crates/cluster/src/change/batch.rs
@@ -2,13 +2,14 @@
 //! share its syncs at each voter.
 
 use super::CHANGE_TIMEOUT;
-use super::error::CommitError;
+use crate::change_error::CommitError;
 use crate::disk::crash_point;
 use crate::member::Member;
+use crate::pending_change::{CommitResult, PendingChange};
 use crate::types::{PeerResponse, RaftTypes, VoterAddress};
 use openraft::error::{ClientWriteError, RaftError};
 use openraft::raft::ClientWriteResponse;
-use sedgerun_replication::state::{Change, ChangeOutcome};
+use sedgerun_replication::state::Change;
 use sedgerun_replication::store::StoreId;
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,17 +23,9 @@
 /// Entries in flight, at most.
 const MAX_ENTRIES_IN_FLIGHT: usize = 2;
 
-type CommitResult = Result<ChangeOutcome, CommitError>;
 type ClientWriteResult =
     Result<ClientWriteResponse<RaftTypes>, RaftError<StoreId, ClientWriteError<StoreId, VoterAddress>>>;
 
-/// A change that waits to be written.
-pub struct PendingChange {
-    change: Change,
-    /// Receives its outcome.
-    result: oneshot::Sender<CommitResult>,
-}
-
 impl Member {
     /// Makes a change through this head as leader, in a batch with those that wait at the same time.
     pub(super) async fn commit(&self, change: Change) -> CommitResult {
--- a/crates/cluster/src/change/forward.rs
+++ b/crates/cluster/src/change/forward.rs
@@ -1,6 +1,6 @@
 //! Requests to the leader, which end early when another head becomes the leader.
 
-use super::error::LeaderRequestError;
+use crate::change_error::LeaderRequestError;
 use crate::member::Member;
 use crate::types::{PeerRequest, PeerResponse};
 use sedgerun_replication::follow::Peer;
--- a/crates/cluster/src/change/mod.rs
+++ b/crates/cluster/src/change/mod.rs
@@ -6,20 +6,19 @@
 //! - `batch`: the leader writes changes in batches
 //! - `forward`: requests to the leader
 //! - `read`: linearizable reads
-//! - `error`: typed errors
+//!
+//! Why one is not completed is in `change_error`.
 
 mod batch;
-mod error;
 mod forward;
 mod read;
 
-pub use batch::{MAX_WAITING_CHANGES, PendingChange};
-pub use error::Unsettled;
+pub use batch::MAX_WAITING_CHANGES;
 
+use crate::change_error::{CommitError, ProposeError, Unsettled};
 use crate::environment::{EntropyError, random};
 use crate::member::Member;
 use crate::types::{PeerRequest, PeerResponse, VoterAddress};
-use error::{CommitError, ProposeError};
 use sedgerun_replication::follow::Peer;
 use sedgerun_replication::state::{Change, ChangeOutcome, Command};
 use std::time::Duration;
--- a/crates/cluster/src/change/read.rs
+++ b/crates/cluster/src/change/read.rs
@@ -1,7 +1,7 @@
 //! Linearizable reads: a head waits until it has all that was committed when the read began.
 
-use super::error::{LinearizableReadError, ProposeError, Unsettled};
 use super::{CHANGE_TIMEOUT, RETRY_INTERVAL};
+use crate::change_error::{LinearizableReadError, ProposeError, Unsettled};
 use crate::member::Member;
 use crate::types::{PeerRequest, PeerResponse};
 use sedgerun_replication::follow::Peer;
--- a/crates/cluster/src/handle/mod.rs
+++ b/crates/cluster/src/handle/mod.rs
@@ -11,7 +11,8 @@
 
 pub use start::ClusterStartError;
 
-use crate::change::{Unsettled, new_change};
+use crate::change::new_change;
+use crate::change_error::Unsettled;
 use crate::member::Member;
 use crate::node::Node;
 use crate::settings::Settings;
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -22,6 +22,7 @@
 //! | [`environment`], [`traffic`] | clock, random numbers, transport; traffic counters |
 
 mod change;
+mod change_error;
 pub mod client;
 pub mod disk;
 mod election;
@@ -35,6 +36,7 @@
 pub mod node;
 mod node_setup;
 mod peer_connection;
+mod pending_change;
 mod raft_log;
 mod recovery;
 mod relay;
@@ -47,7 +49,8 @@
 mod upstream;
 mod voter_connection;
 
-pub use change::{Unsettled, new_change};
+pub use change::new_change;
+pub use change_error::Unsettled;
 pub use handle::{ClusterHandle, ClusterStartError};
 pub use member::{AdoptError, BeginError, StartError};
 pub use state_machine::CorruptSnapshot;
--- a/crates/cluster/src/member/mod.rs
+++ b/crates/cluster/src/member/mod.rs
@@ -19,10 +19,10 @@
 pub use origin::{AdoptError, BeginError};
 pub use start::StartError;
 
-use crate::change::PendingChange;
 use crate::disk::{Disk, Identity};
 use crate::environment::now;
 use crate::link::Links;
+use crate::pending_change::PendingChange;
 use crate::raft_log::RaftLog;
 use crate::settings::Settings;
 use crate::state_machine::StateMachine;
--- a/crates/cluster/src/member/start.rs
+++ b/crates/cluster/src/member/start.rs
@@ -1,11 +1,11 @@
 //! Building a member from its settings and its opened store.
 
 use super::Member;
-use crate::change::PendingChange;
 use crate::disk::{Identity, OpenedStore};
 use crate::environment::{EntropyError, now, random};
 use crate::link::Links;
 use crate::node_setup::NodeSetup;
+use crate::pending_change::PendingChange;
 use crate::raft_log::RaftLog;
 use crate::settings::Settings;
 use crate::state_machine::{CorruptSnapshot, StateMachine};
--- a/crates/cluster/src/node.rs
+++ b/crates/cluster/src/node.rs
@@ -4,10 +4,12 @@
 //! A [`Node`] owns the tasks; dropping it ends them. It does not listen: connections of other heads are handed to it, or
 //! accepted by `serve`.
 
-use crate::change::{MAX_WAITING_CHANGES, PendingChange, Unsettled};
+use crate::change::MAX_WAITING_CHANGES;
+use crate::change_error::Unsettled;
 use crate::environment::Connection;
 use crate::member::{BeginError, Member, StartError};
 pub use crate::node_setup::NodeSetup;
+use crate::pending_change::PendingChange;
 use crate::serve::serve_connection;
 use crate::types::HeadStatus;
 use openraft::ServerState;
--- a/crates/sedgerun/src/discovery/list/mod.rs
+++ b/crates/sedgerun/src/discovery/list/mod.rs
@@ -4,19 +4,11 @@
 mod document;
 
 use self::document::read_document;
+pub use crate::resource_limits::ListBounds;
 use sedgerun_policy::{Micros, Readiness};
 use std::fmt;
 use std::net::SocketAddr;
 
-/// The largest list that a head can hold.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ListBounds {
-    /// Bytes of its JSON text.
-    pub bytes: usize,
-    /// Its entries.
-    pub entries: usize,
-}
-
 /// An endpoint list, or the changes of one.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointList {
--- a/crates/sedgerun/src/resource_limits.rs
+++ b/crates/sedgerun/src/resource_limits.rs
@@ -1,7 +1,5 @@
 //! What the limits on memory and descriptors leave for each part of a head.
 
-use crate::discovery::list::ListBounds;
-
 /// The least bytes of an endpoint list that every head has memory for.
 const MIN_LIST_BYTES: usize = 1 << 20;
 /// Bytes of a list's text for each MiB of memory: a sixteenth. While it is read, the text is in memory twice.
@@ -9,6 +7,15 @@
 /// Bytes of text to an entry, below which the bound on entries is met before the one on bytes.
 const LIST_BYTES_PER_ENTRY: usize = 256;
 
+/// The largest list that a head can hold.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ListBounds {
+    /// Bytes of its JSON text.
+    pub bytes: usize,
+    /// Its entries.
+    pub entries: usize,
+}
+
 /// The bounds that follow from the limits on memory and descriptors.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResourceLimits {
