--- a/crates/sedgerun/tests/harness/mod.rs
+++ b/crates/sedgerun/tests/harness/mod.rs
@@ -7,7 +7,7 @@
 
 use sedgerun_testbed::fault_proxy::{Link, LinkFaults, StreamFault};
 use serde_json::{Value, json};
-use standin::{Discovery, Program, config};
+use standin::{Discovery, Program, config, executable};
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -31,6 +31,8 @@
     /// Further forms in the operator's file, and further variables, by head.
     pub forms: Vec<String>,
     pub variables: Vec<Vec<(String, String)>>,
+    /// The program that each head is started from.
+    pub executables: Vec<PathBuf>,
     discovery: Discovery,
     root: PathBuf,
 }
@@ -64,6 +66,7 @@
             voters,
             forms: vec![String::new(); heads],
             variables: vec![Vec::new(); heads],
+            executables: vec![executable(); heads],
             discovery: Discovery::start(vec![]),
             root,
         }
@@ -111,7 +114,8 @@
         let (config, operator) = self.files(head);
         let variables: Vec<(&str, &str)> =
             self.variables[head].iter().map(|(name, value)| (name.as_str(), value.as_str())).collect();
-        let program = Program::start_with(&config, Some(&operator), &variables);
+        let program =
+            Program::start_executable(&self.executables[head], &config, Some(&operator), &variables);
         let at = program.fleet.expect("a fleet's listener");
         self.links.iter().for_each(|from| from[head].forward_to(at));
         self.heads[head] = Some(program);
@@ -139,7 +143,7 @@
 
     /// The same with files that no running head has.
     pub fn ask_with(&self, (config, operator): &(PathBuf, PathBuf), words: &[&str]) -> Output {
-        let mut command = Command::new(env!("CARGO_BIN_EXE_sedgerun"));
+        let mut command = Command::new(executable());
         command.arg("fleet").args(words).env("LB_CONFIG", config).env("LB_OPERATOR", operator);
         command.output().expect("the command line")
     }
--- a/crates/sedgerun/tests/standin/mod.rs
+++ b/crates/sedgerun/tests/standin/mod.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering};
 use std::sync::{Arc, Condvar, Mutex};
@@ -492,6 +492,11 @@
     lines.join("\n")
 }
 
+/// The program that these tests were built with.
+pub fn executable() -> PathBuf {
+    PathBuf::from(env!("CARGO_BIN_EXE_sedgerun"))
+}
+
 impl Program {
     /// Runs it with these files; what it says and its success if it ends at once.
     pub fn launch(config: &str, operator: Option<&str>) -> Child {
@@ -505,12 +510,22 @@
 
     /// The same, with more in its environment.
     fn launch_with(config: &str, operator: Option<&str>, environment: &[(&str, &str)]) -> (Child, PathBuf) {
+        Program::launch_executable(&executable(), config, operator, environment)
+    }
+
+    /// The same, of any build.
+    fn launch_executable(
+        executable: &Path,
+        config: &str,
+        operator: Option<&str>,
+        environment: &[(&str, &str)],
+    ) -> (Child, PathBuf) {
         let number = NUMBER.fetch_add(1, Ordering::SeqCst);
         let place = std::env::temp_dir().join(format!("sedgerun-{}-{number}", std::process::id()));
         std::fs::create_dir_all(&place).expect("a folder");
         let (config_file, operator_file) = (place.join("config.json"), place.join("operator.conf"));
         std::fs::write(&config_file, config).expect("a file");
-        let mut command = Command::new(env!("CARGO_BIN_EXE_sedgerun"));
+        let mut command = Command::new(executable);
         command.env("LB_CONFIG", &config_file).env_remove("LB_OPERATOR").stderr(Stdio::piped());
         command.envs(environment.iter().copied());
         if let Some(operator) = operator {
@@ -526,7 +541,18 @@
 
     /// Starts it with more in its environment.
     pub fn start_with(config: &Value, operator: Option<&str>, environment: &[(&str, &str)]) -> Program {
-        let (mut child, config) = Program::launch_with(&config.to_string(), operator, environment);
+        Program::start_executable(&executable(), config, operator, environment)
+    }
+
+    /// The same, of any build.
+    pub fn start_executable(
+        executable: &Path,
+        config: &Value,
+        operator: Option<&str>,
+        environment: &[(&str, &str)],
+    ) -> Program {
+        let (mut child, config) =
+            Program::launch_executable(executable, &config.to_string(), operator, environment);
         let mut log = BufReader::new(child.stderr.take().expect("a log"));
         let (mut http, mut ninep, mut admin, mut mgmt, mut fleet) = (None, None, None, None, None);
         let (mut line, mut before) = (String::new(), String::new());
