--- a/crates/adapter/src/wire/action_frame.rs
+++ b/crates/adapter/src/wire/action_frame.rs
@@ -30,11 +30,11 @@
     /// Adds an action of an instance.
     pub fn push(&mut self, instance: u16, action: &Action) {
         match *action {
-            Action::Send { id, backend, until } => self
+            Action::Send { id, backend, timeout_at } => self
                 .begin(DELIVER, instance)
                 .bytes(&id.to_le_bytes())
                 .backend_id(backend)
-                .bytes(&until.to_le_bytes()),
+                .bytes(&timeout_at.to_le_bytes()),
             Action::Reject { id, retry_after } => {
                 let wait = u32::try_from(retry_after).unwrap_or(u32::MAX);
                 self.begin(REJECT, instance).bytes(&id.to_le_bytes()).bytes(&wait.to_le_bytes())
--- a/crates/adapter/src/wire/record.rs
+++ b/crates/adapter/src/wire/record.rs
@@ -172,9 +172,18 @@
     let latency = u64::from(fields.u32()?);
     let request_ended = fields.u8()? != 0;
     let volume_usage = volume_usage(fields.u16()?);
-    let units_elsewhere = f64::from(fields.u16()?);
+    let units_via_other_heads = f64::from(fields.u16()?);
     fields.skip_gauge()?;
-    Ok(AttemptOutcome { id, attempt, backend, end, latency, request_ended, volume_usage, units_elsewhere })
+    Ok(AttemptOutcome {
+        id,
+        attempt,
+        backend,
+        end,
+        latency,
+        request_ended,
+        volume_usage,
+        units_via_other_heads,
+    })
 }
 
 /// The wire gives a volume's usage in hundredths of its plan's rate, plus one; 0: not reported.
--- a/crates/adapter/tests/frozen_wire.rs
+++ b/crates/adapter/tests/frozen_wire.rs
@@ -347,7 +347,7 @@
     let node = BackendId(u64::from_le_bytes([0x0a, 0x90, 0x11, 0xf2, 0xb4, 0x13, 0, 0]));
     let kinds = [
         (
-            Action::Send { id: 0x5d3a_91c4, backend: node, until: 0x8194da },
+            Action::Send { id: 0x5d3a_91c4, backend: node, timeout_at: 0x8194da },
             "100300c4913a5d0a9011f2b413da94810000000000",
         ),
         (Action::Reject { id: 0x0e6f_2b19, retry_after: 250_000 }, "110300192b6f0e90d00300"),
--- a/crates/adapter/tests/wire.rs
+++ b/crates/adapter/tests/wire.rs
@@ -79,7 +79,7 @@
         latency: 0x4844,
         request_ended: true,
         volume_usage: Some(0.85),
-        units_elsewhere: 3.0,
+        units_via_other_heads: 3.0,
     };
     assert_eq!(read.records[1], (3, Record::Event(Event::AttemptEnded(outcome))));
     let (_, Record::Event(Event::EndpointList { scope, endpoints })) = &read.records[2] else {
@@ -93,7 +93,7 @@
 fn actions_are_written_in_the_bytes_of_the_wire() {
     let backend = BackendId(u64::from_le_bytes([0x0a, 0x12, 0x4a, 0x07, 0x8b, 0x13, 0, 0]));
     let mut frame = ActionFrame::default();
-    frame.push(3, &Action::Send { id: 0x5d3a_91c4, backend, until: 0x8194da });
+    frame.push(3, &Action::Send { id: 0x5d3a_91c4, backend, timeout_at: 0x8194da });
     frame.push(3, &Action::SetTimer { at: 0x87fd7a, token: 0x4d });
     frame.push(3, &Action::Reject { id: 1, retry_after: 0x1_0000_0000 });
     frame.push(3, &Action::Watch);
--- a/crates/config/src/policy_settings.rs
+++ b/crates/config/src/policy_settings.rs
@@ -62,7 +62,7 @@
 /// Reads the rules of the protocol.
 fn rules(pairs: &Pairs) -> Rules {
     Rules {
-        answer_slack: pairs.duration("rules.answerSlack", Some(0.0)),
+        response_slack: pairs.duration("rules.answerSlack", Some(0.0)),
         drain_grace: pairs.duration("rules.drainGrace", Some(0.0)),
         slow_start: SlowStartLimits {
             initial_capacity: pairs.figure("rules.startCapacity", 0.0, Some(0.0)),
@@ -103,7 +103,7 @@
     let key = |name: &str| format!("classes.{index}.{name}");
     RequestClass {
         latency_objective: pairs.figure(&key("goalTime"), 1.0, None) as Micros,
-        deadline: pairs.figure(&key("deadline"), 1.0, None) as Micros,
+        timeout: pairs.figure(&key("deadline"), 1.0, None) as Micros,
         idempotency: pairs.word(&key("repeat"), &IDEMPOTENCIES, None).unwrap_or(Idempotency::NotIdempotent),
         deduplication_scope: pairs
             .word(&key("group"), &DEDUPLICATION_SCOPES, Some(DeduplicationScope::Shard))
--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -131,7 +131,7 @@
             latency: now.saturating_sub(in_flight.sent_at),
             request_ended: !self.requests.contains_key(&id),
             volume_usage,
-            units_elsewhere,
+            units_via_other_heads: units_elsewhere,
         };
         self.handle(now, Event::AttemptEnded(outcome));
         self.end_if_cancelled(now, id);
@@ -204,7 +204,7 @@
         self.controller.handle(now, event, &mut actions);
         for action in actions {
             match action {
-                Action::Send { id, backend, until } => self.send(now, id, backend, until),
+                Action::Send { id, backend, timeout_at } => self.send(now, id, backend, timeout_at),
                 Action::Reject { id, retry_after } => self.finish(id, FinalAnswer::Rejected(retry_after)),
                 Action::Fail { id } => self.finish(id, FinalAnswer::Failed),
                 Action::Cancel { id, attempt } => {
--- a/crates/dispatch/tests/dispatcher.rs
+++ b/crates/dispatch/tests/dispatcher.rs
@@ -9,7 +9,7 @@
 fn settings() -> Settings {
     let class = |repeat| RequestClass {
         latency_objective: 200 * MS,
-        deadline: 1_000 * MS,
+        timeout: 1_000 * MS,
         idempotency: repeat,
         deduplication_scope: DeduplicationScope::All,
         deduplication_window: 0,
--- a/crates/policy/src/action.rs
+++ b/crates/policy/src/action.rs
@@ -12,7 +12,7 @@
         /// Where to.
         backend: BackendId,
         /// When the attempt times out.
-        until: Micros,
+        timeout_at: Micros,
     },
     /// Final answer: rejected, and safe to try again.
     Reject {
--- a/crates/policy/src/event.rs
+++ b/crates/policy/src/event.rs
@@ -145,5 +145,5 @@
     /// plan's nominal rate.
     pub volume_usage: Option<f64>,
     /// Units that this backend served the volume through other heads since its last response to this head.
-    pub units_elsewhere: f64,
+    pub units_via_other_heads: f64,
 }
--- a/crates/policy/src/quota.rs
+++ b/crates/policy/src/quota.rs
@@ -129,7 +129,7 @@
     /// one starts with less. Where clients name ever new volumes, each goes as soon as no request for it can
     /// be open.
     pub(crate) fn forget_idle(&mut self, classes: &[RequestClass], now: Micros) {
-        let longest_deadline = classes.iter().map(|class| class.deadline).max().unwrap_or(0);
+        let longest_deadline = classes.iter().map(|class| class.timeout).max().unwrap_or(0);
         let is_crowded = self.by_volume.len() > MAX_IDLE_VOLUMES;
         let idle_time = if is_crowded { longest_deadline } else { longest_deadline + IDLE_TIMEOUT };
         self.by_volume.retain(|_, quota| now < quota.last_request_at + idle_time);
--- a/crates/policy/src/request.rs
+++ b/crates/policy/src/request.rs
@@ -73,7 +73,7 @@
     pub(crate) fn due_at(&mut self, request: &Request, class: &RequestClass, now: Micros) -> Micros {
         let time_left = request.deadline.saturating_sub(now);
         let first_attempt_time = &mut self.by_class[request.class];
-        *first_attempt_time = time_left.max(*first_attempt_time).min(class.deadline);
+        *first_attempt_time = time_left.max(*first_attempt_time).min(class.timeout);
         // One with less time than an objective comes from a client in a hurry, not from one that has waited.
         let time_spent = if time_left > class.latency_objective {
             first_attempt_time.saturating_sub(time_left)
--- a/crates/policy/src/scheduling.rs
+++ b/crates/policy/src/scheduling.rs
@@ -93,7 +93,11 @@
         }
         request.attempts += 1;
         request.in_flight += 1;
-        actions.push(Action::Send { id, backend: backend_id, until: attempt_timeout(request, class, now) });
+        actions.push(Action::Send {
+            id,
+            backend: backend_id,
+            timeout_at: attempt_timeout_at(request, class, now),
+        });
     }
 }
 
@@ -196,6 +200,6 @@
 /// A response long after the latency objective has little weight, and the wait for it would fill the backend:
 /// the attempt ends at the objective, or half an objective after it was sent. Harms where late responses have
 /// nearly full weight.
-fn attempt_timeout(request: &QueuedRequest, class: &RequestClass, now: Micros) -> Micros {
+fn attempt_timeout_at(request: &QueuedRequest, class: &RequestClass, now: Micros) -> Micros {
     request.due_at.max(now + class.latency_objective / 2).min(request.spec.deadline)
 }
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -65,7 +65,7 @@
     /// A response within this time has the full priority weight.
     pub latency_objective: Micros,
     /// How long a client waits over all of its attempts.
-    pub deadline: Micros,
+    pub timeout: Micros,
     /// Whether a request may run more than once.
     pub idempotency: Idempotency,
     /// For [`Idempotency::WithKey`]: which backends drop duplicates.
@@ -103,7 +103,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Rules {
     /// How long after the client's deadline a final answer still counts.
-    pub answer_slack: Micros,
+    pub response_slack: Micros,
     /// How long after the notification that a backend drains new attempts may still be sent to it.
     pub drain_grace: Micros,
     /// How fast a backend that has just started may be loaded.
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -24,10 +24,10 @@
 pub const LIMITED: usize = 0;
 pub const RESERVED: usize = 1;
 
-pub fn class(latency_objective: Micros, deadline: Micros, idempotency: Idempotency) -> RequestClass {
+pub fn class(latency_objective: Micros, timeout: Micros, idempotency: Idempotency) -> RequestClass {
     RequestClass {
         latency_objective,
-        deadline,
+        timeout,
         idempotency,
         deduplication_scope: DeduplicationScope::Shard,
         deduplication_window: 2 * SECOND,
@@ -90,7 +90,7 @@
 
 fn rules() -> Rules {
     Rules {
-        answer_slack: 8 * MS,
+        response_slack: 8 * MS,
         drain_grace: 250 * MS,
         slow_start: SlowStartLimits {
             initial_capacity: 0.2,
@@ -127,7 +127,7 @@
         latency,
         request_ended: end == AttemptEnd::Ok,
         volume_usage: None,
-        units_elsewhere: 0.0,
+        units_via_other_heads: 0.0,
     }
 }
 
--- a/crates/policy/tests/common/rules.rs
+++ b/crates/policy/tests/common/rules.rs
@@ -114,8 +114,8 @@
     /// Checks an action of a head. For a send, the number of the attempt.
     pub fn check(&mut self, head: usize, action: &Action, now: Micros) -> Option<u8> {
         match action {
-            Action::Send { id, backend, until } => {
-                return Some(self.check_send(head, *id, *backend, *until, now));
+            Action::Send { id, backend, timeout_at } => {
+                return Some(self.check_send(head, *id, *backend, *timeout_at, now));
             }
             Action::Reject { id, .. } => {
                 self.check_final_answer(head, *id, now);
@@ -135,11 +135,11 @@
         head: usize,
         id: RequestId,
         backend: BackendId,
-        until: Micros,
+        timeout_at: Micros,
         now: Micros,
     ) -> u8 {
         self.check_drain(backend, now);
-        self.check_open(head, id, backend, until);
+        self.check_open(head, id, backend, timeout_at);
         self.check_earlier_attempts(id, backend, now);
         let is_first_attempt = self.requests[&id].attempts.is_empty();
         if is_first_attempt {
@@ -162,7 +162,7 @@
     }
 
     /// A request is sent by its own head, before its answer and its deadline, and where its data is.
-    fn check_open(&self, head: usize, id: RequestId, backend: BackendId, until: Micros) {
+    fn check_open(&self, head: usize, id: RequestId, backend: BackendId, timeout_at: Micros) {
         let observed = self.requests.get(&id).expect("known");
         let incarnation = self.heads[head].incarnation;
         assert_eq!(
@@ -171,7 +171,7 @@
             "sent once ended"
         );
         let request = &observed.request;
-        assert!(until <= request.deadline);
+        assert!(timeout_at <= request.deadline);
         assert!(request.shard.is_none_or(|shard| u64::from(shard) == backend.0), "wrong shard");
         assert!((observed.attempts.len() as u32) < self.settings.permissions.max_attempts);
     }
@@ -259,7 +259,7 @@
             (head, incarnation, 0),
             "answered twice"
         );
-        assert!(now <= observed.request.deadline + self.settings.rules.answer_slack, "too late");
+        assert!(now <= observed.request.deadline + self.settings.rules.response_slack, "too late");
         observed.answers = 1;
     }
 
--- a/crates/policy/tests/common/simulation.rs
+++ b/crates/policy/tests/common/simulation.rs
@@ -153,8 +153,8 @@
     fn carry_out(&mut self, head: usize, action: &Action, attempt: Option<u8>) {
         let incarnation = self.heads[head].incarnation;
         match (action, attempt) {
-            (Action::Send { id, backend, until }, Some(attempt)) => {
-                let (at, end) = self.attempt_end(*until);
+            (Action::Send { id, backend, timeout_at }, Some(attempt)) => {
+                let (at, end) = self.attempt_end(*timeout_at);
                 let outcome = outcome(*id, attempt, backend.0, end, at - self.now);
                 self.schedule(at, Occurrence::AttemptEnd { head, incarnation, outcome });
             }
@@ -168,14 +168,14 @@
         }
     }
 
-    /// When and how an attempt ends that is sent now and times out at `until`.
-    fn attempt_end(&mut self, until: Micros) -> (Micros, AttemptEnd) {
+    /// When and how an attempt ends that is sent now and times out at `timeout_at`.
+    fn attempt_end(&mut self, timeout_at: Micros) -> (Micros, AttemptEnd) {
         let fails = self.random.below(100) < self.conditions.failing;
         let failures =
             [AttemptEnd::Error, AttemptEnd::Rejected, AttemptEnd::ConnectFailed, AttemptEnd::Reset];
         let end = if fails { failures[self.random.below(4) as usize] } else { AttemptEnd::Ok };
         let at = self.now + 1 + self.random.below(self.conditions.slowest * MS);
-        if at >= until { (until.max(self.now + 1), AttemptEnd::Timeout) } else { (at, end) }
+        if at >= timeout_at { (timeout_at.max(self.now + 1), AttemptEnd::Timeout) } else { (at, end) }
     }
 
     fn on_request(&mut self) {
@@ -194,8 +194,8 @@
         let random = &mut self.random;
         let class = random.below(self.settings.classes.len() as u64) as usize;
         let volume = random.below(6);
-        let deadline = self.settings.classes[class].deadline;
-        let time_left = if random.chance(10) { random.below(deadline) } else { deadline };
+        let timeout = self.settings.classes[class].timeout;
+        let time_left = if random.chance(10) { random.below(timeout) } else { timeout };
         Request {
             id: self.requests,
             class,
--- a/crates/policy/tests/load_shedding.rs
+++ b/crates/policy/tests/load_shedding.rs
@@ -118,6 +118,6 @@
 fn an_attempt_times_out_at_the_latency_objective() {
     let mut head = TestHead::with_one_backend();
     let actions = head.receive(2 * SECOND, request(1, IDEMPOTENT, Some(1), 4 * SECOND));
-    let until = 2 * SECOND + 300 * MS;
-    assert!(actions.contains(&Action::Send { id: 1, backend: BackendId(1), until }));
+    let timeout_at = 2 * SECOND + 300 * MS;
+    assert!(actions.contains(&Action::Send { id: 1, backend: BackendId(1), timeout_at }));
 }
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -26,7 +26,7 @@
 #[test]
 fn rules_hold_without_optional_figures() {
     let mut s = settings();
-    s.rules = Rules { answer_slack: 8 * MS, ..Rules::default() };
+    s.rules = Rules { response_slack: 8 * MS, ..Rules::default() };
     s.permissions = Permissions { max_attempts: 1, ..Permissions::default() };
     s.plans = vec![ServicePlan { weight: 1.0, priority_weight: 1.0, ..ServicePlan::default() }];
     simulate_all(&s);
--- a/crates/sedgerun/src/frontend/http/request.rs
+++ b/crates/sedgerun/src/frontend/http/request.rs
@@ -88,7 +88,7 @@
             plan,
             key,
             // No client waits past its class's deadline; guards against requests that would be queued for ever.
-            timeout: timeout.min(config.settings.classes[class].deadline),
+            timeout: timeout.min(config.settings.classes[class].timeout),
             placement,
             content_length,
         })
--- a/crates/sedgerun/src/frontend/ninep/submission.rs
+++ b/crates/sedgerun/src/frontend/ninep/submission.rs
@@ -58,7 +58,7 @@
     fn request_spec(&self, fid: &Fid, op: &FileOperation) -> RequestSpec {
         let export = &fid.export;
         let (class, bytes) = class_and_bytes(export, op);
-        let time_limit = self.config.settings.classes.get(class).map_or(0, |class| class.deadline);
+        let time_limit = self.config.settings.classes.get(class).map_or(0, |class| class.timeout);
         RequestSpec {
             class,
             plan: export.plan,
--- a/crates/sedgerun/src/head/drain.rs
+++ b/crates/sedgerun/src/head/drain.rs
@@ -29,7 +29,7 @@
 
 impl DrainTimes {
     fn new(classes: &[RequestClass]) -> DrainTimes {
-        let longest_deadline = classes.iter().map(|class| class.deadline).max().unwrap_or(0);
+        let longest_deadline = classes.iter().map(|class| class.timeout).max().unwrap_or(0);
         let shortest_objective = classes.iter().map(|class| class.latency_objective).min().unwrap_or(0);
         let kill_deadline = Duration::from_micros(longest_deadline).min(MAX_KILL_DEADLINE);
         let answered_by = kill_deadline + KILL_TIME - KILL_MARGIN;
--- a/crates/sedgerun/tests/frozen_settings.rs
+++ b/crates/sedgerun/tests/frozen_settings.rs
@@ -94,7 +94,7 @@
     };
     assert_eq!(settings.permissions, permits);
     let rules = Rules {
-        answer_slack: 8000,
+        response_slack: 8000,
         drain_grace: 250_000,
         slow_start: SlowStartLimits {
             initial_capacity: 0.2,
@@ -115,7 +115,7 @@
     let settings = read(None).settings;
     let read = RequestClass {
         latency_objective: 200_000,
-        deadline: 1_000_000,
+        timeout: 1_000_000,
         idempotency: Idempotency::Idempotent,
         deduplication_scope: DeduplicationScope::All,
         deduplication_window: 5_000_000,
@@ -125,7 +125,7 @@
     };
     let write = RequestClass {
         latency_objective: 250_000,
-        deadline: 1_200_000,
+        timeout: 1_200_000,
         idempotency: Idempotency::NotIdempotent,
         deduplication_scope: DeduplicationScope::Zone,
         deduplication_window: 6_000_000,
@@ -135,7 +135,7 @@
     };
     let bulk = RequestClass {
         latency_objective: 1_200_000,
-        deadline: 4_000_000,
+        timeout: 4_000_000,
         idempotency: Idempotency::WithKey,
         deduplication_scope: DeduplicationScope::Shard,
         deduplication_window: 7_000_000,
--- a/crates/testbed/src/simulator/clients.rs
+++ b/crates/testbed/src/simulator/clients.rs
@@ -19,7 +19,7 @@
             self.schedule(START + next.at, Event::Arrival(index + 1));
         }
         let arrival = &self.drawn.arrivals[index as usize];
-        let deadline = self.drawn.settings.classes[usize::from(arrival.class)].deadline;
+        let deadline = self.drawn.settings.classes[usize::from(arrival.class)].timeout;
         self.begin_attempt(index, false, START + arrival.at + deadline, self.now);
     }
 
--- a/crates/testbed/src/sockets/clients.rs
+++ b/crates/testbed/src/sockets/clients.rs
@@ -73,7 +73,7 @@
         let test_bed = &self.test_bed;
         let arrival = &test_bed.drawn.arrivals[index as usize];
         let class = &test_bed.drawn.settings.classes[usize::from(arrival.class)];
-        let deadline = arrival.at + class.deadline;
+        let deadline = arrival.at + class.timeout;
         let mut is_retry = false;
         let (result, latency) = loop {
             let end = self.attempt(index, arrival, deadline).await;
