--- a/crates/cluster/src/change/mod.rs
+++ b/crates/cluster/src/change/mod.rs
@@ -40,7 +40,7 @@
         Some(key) => format!("caller {key}"),
         None => format!("{:016x}{:016x}", random()?, random()?),
     };
-    Ok(Change { key, expect, command })
+    Ok(Change { key, expected_version: expect, command })
 }
 
 impl Member {
--- a/crates/cluster/src/client/backup.rs
+++ b/crates/cluster/src/client/backup.rs
@@ -39,7 +39,7 @@
     })??;
     let objects = view.objects().collect();
     let backup = Backup { fleet: settings.name.clone(), version: view.version, objects };
-    let bytes = record::seal(RecordType::Backup, &backup)?;
+    let bytes = record::encode(RecordType::Backup, &backup)?;
     let written = write_file(file, &bytes);
     written.map_err(|source| ClientError::File { file: file.to_owned(), source })?;
     Ok(format!(
@@ -58,7 +58,7 @@
 pub fn restore(settings: &Settings, head: &str, file: &Path) -> Result<String, ClientError> {
     let bytes = std::fs::read(file);
     let bytes = bytes.map_err(|source| ClientError::File { file: file.to_owned(), source })?;
-    let backup: Backup = record::open(RecordType::Backup, &bytes)
+    let backup: Backup = record::decode(RecordType::Backup, &bytes)
         .map_err(|source| ClientError::CorruptBackup { file: file.to_owned(), source })?;
     let version = make(settings, head, Command::Restore(backup.objects))?;
     Ok(format!(
--- a/crates/cluster/src/client/mod.rs
+++ b/crates/cluster/src/client/mod.rs
@@ -97,7 +97,7 @@
 /// Links of the command line: with the secret of the settings, and without a store.
 fn links(settings: &Settings, head: &str) -> Links {
     let own = Greeting {
-        fleet: settings.name.clone(),
+        cluster: settings.name.clone(),
         secret: settings.secret.clone(),
         head: head.to_owned(),
         store: None,
--- a/crates/cluster/src/client/status/json.rs
+++ b/crates/cluster/src/client/status/json.rs
@@ -44,7 +44,7 @@
 }
 
 fn follower(follower: &Downstream) -> Value {
-    json!({"head": follower.at.head, "role": "follower", "address": follower.at.address, "zone": follower.zone,
+    json!({"head": follower.peer.head, "role": "follower", "address": follower.peer.address, "zone": follower.zone,
         "version": follower.version, "life": follower.incarnation, "store": hexadecimal(follower.store)})
 }
 
--- a/crates/cluster/src/client/status/mod.rs
+++ b/crates/cluster/src/client/status/mod.rs
@@ -92,7 +92,7 @@
         let mut followers = BTreeMap::new();
         for report in self.answered() {
             let reported = report.status.followers.iter();
-            followers.extend(reported.map(|follower| (follower.at.head.clone(), follower.clone())));
+            followers.extend(reported.map(|follower| (follower.peer.head.clone(), follower.clone())));
         }
         for (name, result) in &self.0 {
             if result.is_ok() {
--- a/crates/cluster/src/client/status/table.rs
+++ b/crates/cluster/src/client/status/table.rs
@@ -62,7 +62,7 @@
     writeln!(
         text,
         "{:<12} {:<10} {:>5} {:>8} {:>7} {:>8}  {:016x} {:>5}",
-        follower.at.head,
+        follower.peer.head,
         "follower",
         "",
         follower.version,
--- a/crates/cluster/src/disk/contents.rs
+++ b/crates/cluster/src/disk/contents.rs
@@ -56,8 +56,8 @@
         let last = self.log.values().next_back().map(|entry| entry.log_id).max(self.purged).max(snapshot);
         let position = |at: LogId| (at.leader_id.term, at.index);
         Watermark {
-            vote: self.vote.map_or(0, |vote| vote.leader_id().term),
-            last: last.map_or((0, 0), position),
+            vote_term: self.vote.map_or(0, |vote| vote.leader_id().term),
+            last_entry: last.map_or((0, 0), position),
         }
     }
 
@@ -100,7 +100,7 @@
     for entry in entries.iter().map_err(redb::Error::from)? {
         let (index, bytes) = entry.map_err(redb::Error::from)?;
         let index = index.value();
-        let entry = record::open(RecordType::Entry, bytes.value())
+        let entry = record::decode(RecordType::Entry, bytes.value())
             .map_err(|source| StoreError::CorruptEntry { index, source })?;
         log.insert(index, entry);
     }
@@ -129,13 +129,15 @@
         name: &'static str,
     ) -> Result<Option<T>, StoreError> {
         let Some(bytes) = self.meta.get(key).map_err(redb::Error::from)? else { return Ok(None) };
-        let value = record::open(record_type, bytes.value())
+        let value = record::decode(record_type, bytes.value())
             .map_err(|source| StoreError::CorruptRecord { key: name, source })?;
         Ok(Some(value))
     }
 
     fn read_snapshot(&self) -> Result<Option<(SnapshotMeta, Vec<u8>)>, StoreError> {
-        let Some(meta) = self.read(RecordType::SnapshotHead, key::SNAPSHOT_META)? else { return Ok(None) };
+        let Some(meta) = self.read(RecordType::SnapshotMetadata, key::SNAPSHOT_META)? else {
+            return Ok(None);
+        };
         let state = self.read_as(RecordType::Snapshot, key::SNAPSHOT_STATE, "snapshot state")?;
         Ok(Some((meta, state.ok_or(StoreError::MissingSnapshotState)?)))
     }
--- a/crates/cluster/src/disk/mod.rs
+++ b/crates/cluster/src/disk/mod.rs
@@ -81,7 +81,7 @@
         key: &'static str,
         value: &T,
     ) -> Result<(), WriteError> {
-        let bytes = record::seal(record_type, value)?;
+        let bytes = record::encode(record_type, value)?;
         self.run(|done| Job::Put(key, bytes, done)).await
     }
 
@@ -91,7 +91,7 @@
     /// They cannot be encoded, or the writer has ended. A failed write is reported to `flushed`.
     pub async fn append(&self, entries: &[Entry], flushed: LogFlushed<RaftTypes>) -> Result<(), WriteError> {
         let sealed =
-            entries.iter().map(|entry| Ok((entry.log_id.index, record::seal(RecordType::Entry, entry)?)));
+            entries.iter().map(|entry| Ok((entry.log_id.index, record::encode(RecordType::Entry, entry)?)));
         let sealed: Result<Vec<_>, EncodeError> = sealed.collect();
         let job = Job::Append(sealed?, flushed);
         self.jobs.send(job).await.map_err(|_| WriteError::WriterEnded)
@@ -105,7 +105,7 @@
         key: &'static str,
         value: &T,
     ) {
-        if let Ok(bytes) = record::seal(record_type, value) {
+        if let Ok(bytes) = record::encode(record_type, value) {
             let _ = self.jobs.send(Job::PutWithoutSync(key, bytes)).await;
         }
     }
@@ -123,7 +123,7 @@
     /// # Errors
     /// They cannot be removed, or the writer has ended.
     pub async fn purge(&self, upto: LogId) -> Result<(), WriteError> {
-        let position = record::seal(RecordType::Position, &upto)?;
+        let position = record::encode(RecordType::Position, &upto)?;
         self.run(|done| Job::Purge(upto.index, position, done)).await
     }
 
@@ -132,8 +132,8 @@
     /// # Errors
     /// It cannot be encoded or written, or the writer has ended.
     pub async fn put_snapshot(&self, meta: &SnapshotMeta, state: &Vec<u8>) -> Result<(), WriteError> {
-        let meta = record::seal(RecordType::SnapshotHead, meta)?;
-        let state = record::seal(RecordType::Snapshot, state)?;
+        let meta = record::encode(RecordType::SnapshotMetadata, meta)?;
+        let state = record::encode(RecordType::Snapshot, state)?;
         self.run(|done| Job::Snapshot(meta, state, done)).await
     }
 }
--- a/crates/cluster/src/disk/open.rs
+++ b/crates/cluster/src/disk/open.rs
@@ -89,7 +89,7 @@
     file: &str,
 ) -> Result<(Disk, Writer, OpenedStore), OpenError> {
     opened.identity.incarnation += 1;
-    let identity = record::seal(RecordType::Identity, &opened.identity);
+    let identity = record::encode(RecordType::Identity, &opened.identity);
     let identity = identity.map_err(StoreError::Encode).map_err(OpenError::in_file(file))?;
     let job = Job::Put(key::IDENTITY, identity, oneshot::channel().0);
     write(&database, &[job]).map_err(StoreError::Database).map_err(OpenError::in_file(file))?;
--- a/crates/cluster/src/election.rs
+++ b/crates/cluster/src/election.rs
@@ -60,7 +60,7 @@
         let voters: BTreeSet<StoreId> = membership.voter_ids().collect();
         let step = self.election().step(now(), metrics.id, &voters);
         match step {
-            ElectionStep::Wait(_) => {}
+            ElectionStep::WaitUntil(_) => {}
             ElectionStep::Campaign => self.campaign().await,
             ElectionStep::PreVote { round, voters } => {
                 let recipients = membership.nodes().filter(|(store, _)| voters.contains(store));
@@ -91,7 +91,7 @@
             if self.log.has_unsynced_vote() {
                 return self.election().on_unsynced_vote();
             }
-            let step = self.election().on_answer(now(), round, store, true);
+            let step = self.election().on_pre_vote_response(now(), round, store, true);
             if step == ElectionStep::Campaign {
                 return self.campaign().await;
             }
--- a/crates/cluster/src/follow.rs
+++ b/crates/cluster/src/follow.rs
@@ -9,11 +9,11 @@
 use crate::peer_connection::{PeerConnection, RequestError};
 use crate::types::{PeerRequest, PeerResponse, UpdateRequest};
 use sedgerun_replication::follow::{
-    ANSWER_TIMEOUT_MS, Downstream, FollowerStep, Peer, Rejection, UpstreamPoll,
+    Downstream, FollowerStep, Peer, RESPONSE_TIMEOUT_MS, Rejection, UpstreamPoll,
 };
 use sedgerun_replication::record::RecordType;
 use sedgerun_replication::subscribe::{
-    LegacyPeers, RELAY_WAIT_MS, SubscribeReply, Subscription, SummaryReporter, Update,
+    LegacyPeers, RELAY_POLL_TIMEOUT_MS, SubscribeResponse, Subscription, SummaryReporter, Update,
 };
 use std::collections::BTreeMap;
 use std::io;
@@ -80,7 +80,8 @@
     pub async fn follow(&self) {
         let mut polling = PollingState::default();
         loop {
-            let misses_leader = self.election().leader_silence(now()) > LEADER_SILENCE_MS && !self.leads();
+            let misses_leader =
+                self.election().time_since_heartbeat(now()) > LEADER_SILENCE_MS && !self.leads();
             if self.votes() && !misses_leader {
                 polling.connections.clear();
                 tokio::time::sleep(POLL_INTERVAL).await;
@@ -90,7 +91,7 @@
             let step =
                 self.state_machine.read(|view| self.follower().next_step(now(), view, serves_followers));
             let poll = match step {
-                FollowerStep::Wait(until) => {
+                FollowerStep::WaitUntil(until) => {
                     let wait = Duration::from_millis(until.saturating_sub(now()));
                     tokio::time::sleep(wait.clamp(MIN_SLEEP, POLL_INTERVAL)).await;
                     continue;
@@ -114,7 +115,7 @@
                 return Err(error);
             }
         };
-        self.state_machine.update_followed(|view| self.follower().on_reply(now(), view, reply))?;
+        self.state_machine.update_followed(|view| self.follower().on_response(now(), view, reply))?;
         self.check_still_voter();
         Ok(())
     }
@@ -133,7 +134,7 @@
         &self,
         polling: &mut PollingState,
         poll: &UpstreamPoll,
-    ) -> Result<SubscribeReply, PollError> {
+    ) -> Result<SubscribeResponse, PollError> {
         let to = self.links.route(&poll.peer.head, &poll.peer.address).ok_or(PollError::NoAddress)?;
         let head = &poll.peer.head;
         let mut connection = match polling.connections.remove(head) {
@@ -144,7 +145,7 @@
         let mut response = Err(RequestError::Hangup);
         if !polling.legacy.contains(now(), head, incarnation) {
             let request = self.subscription(polling, poll);
-            response = connection.request(&request, response_timeout(poll.wait)).await;
+            response = connection.request(&request, response_timeout(poll.poll_timeout)).await;
             if matches!(response, Err(RequestError::Hangup)) {
                 polling.legacy.remember(now(), head, incarnation);
                 connection = PeerConnection::dial(&self.links, to).await.map_err(PollError::Dial)?;
@@ -152,7 +153,7 @@
         }
         if matches!(response, Err(RequestError::Hangup)) {
             let request = self.update_request(polling, poll);
-            let timeout = response_timeout(poll.wait.min(RELAY_WAIT_MS));
+            let timeout = response_timeout(poll.poll_timeout.min(RELAY_POLL_TIMEOUT_MS));
             response = connection.request(&request, timeout).await;
         }
         let reply = self.read_response(response?).await?;
@@ -160,15 +161,15 @@
         Ok(reply)
     }
 
-    async fn read_response(&self, response: PeerResponse) -> Result<SubscribeReply, PollError> {
+    async fn read_response(&self, response: PeerResponse) -> Result<SubscribeResponse, PollError> {
         let reply = match response {
             PeerResponse::Subscribed(reply) => reply,
-            PeerResponse::Update(origin, reply) => reply.into_subscribe_reply(origin),
+            PeerResponse::Update(origin, reply) => reply.into_subscribe_response(origin),
             PeerResponse::Refused(why) => return Err(PollError::Refused(why)),
             _ => return Err(PollError::UnexpectedResponse),
         };
         // From its first update on a head belongs to that cluster and to no other.
-        if let SubscribeReply::Update(Update { route: Some(route), .. }) = &reply
+        if let SubscribeResponse::Update(Update { route: Some(route), .. }) = &reply
             && route.origin.is_some()
         {
             self.adopt(route.origin).await?;
@@ -189,14 +190,14 @@
             polling.reported_to = upstream;
         }
         let summary = self.followers().summary(now());
-        let summary = if is_upstream { polling.reporter.due(now(), summary) } else { None };
+        let summary = if is_upstream { polling.reporter.next_report(now(), summary) } else { None };
         PeerRequest::Subscribe(Box::new(Subscription {
             role,
             region,
             version: self.state_machine.read(|view| view.version),
             since: poll.since,
             first_version: poll.first_version,
-            wait: poll.wait,
+            poll_timeout: poll.poll_timeout,
             cached,
             // A voter that polls to learn whether it still votes needs an answer, not an upstream.
             bypass_relays: poll.bypass_relays || self.votes(),
@@ -208,7 +209,7 @@
     fn update_request(&self, polling: &mut PollingState, poll: &UpstreamPoll) -> PeerRequest {
         let own = self.links.own();
         let follower = Downstream {
-            at: Peer { head: own.head, address: own.address },
+            peer: Peer { head: own.head, address: own.address },
             store: self.raft_id(),
             zone: own.zone,
             version: self.state_machine.read(|view| view.version),
@@ -223,7 +224,7 @@
             subtree: reports.then(|| self.followers().subtree(now())),
             since: poll.since,
             first_version: poll.first_version,
-            wait_ms: poll.wait,
+            wait_ms: poll.poll_timeout,
         }))
     }
 
@@ -250,5 +251,5 @@
 
 /// Time for the response to a poll that waits for `wait_ms` milliseconds at the other end.
 fn response_timeout(wait_ms: u64) -> Duration {
-    Duration::from_millis(wait_ms + ANSWER_TIMEOUT_MS)
+    Duration::from_millis(wait_ms + RESPONSE_TIMEOUT_MS)
 }
--- a/crates/cluster/src/force_recovery.rs
+++ b/crates/cluster/src/force_recovery.rs
@@ -8,7 +8,7 @@
 use crate::settings::Settings;
 use crate::state_machine::{self, CorruptSnapshot};
 use crate::types::{LogId, Membership, SnapshotMeta, Vote, VoterAddress};
-use sedgerun_replication::greeting::origin;
+use sedgerun_replication::greeting::cluster_origin;
 use sedgerun_replication::record::{self, EncodeError, RecordType};
 use sedgerun_replication::state::ReplicatedState;
 use sedgerun_replication::store::StoreId;
@@ -94,7 +94,7 @@
         // It has followed since: what it received is newer, and was committed.
         return Ok(RecoveredState {
             committed_version: opened.followed.version,
-            state: ReplicatedState::of(opened.followed.clone()),
+            state: ReplicatedState::from_view(opened.followed.clone()),
         });
     }
     Ok(RecoveredState { committed_version: committed.view.version, state })
@@ -130,16 +130,16 @@
         last_membership: Membership::new(last, voters),
         snapshot_id: format!("recovered-{term}-{}", last.map_or(0, |at| at.index)),
     };
-    let identity = Identity { store, incarnation: 0, origin: Some(origin([store])) };
-    let state = record::seal(RecordType::Snapshot, state)?;
+    let identity = Identity { store, incarnation: 0, origin: Some(cluster_origin([store])) };
+    let state = record::encode(RecordType::Snapshot, state)?;
     let mut records = vec![
-        (key::IDENTITY, record::seal(RecordType::Identity, &identity)?),
-        (key::VOTE, record::seal(RecordType::Vote, &Vote::new(term, store))?),
-        (key::SNAPSHOT_META, record::seal(RecordType::SnapshotHead, &meta)?),
-        (key::SNAPSHOT_STATE, record::seal(RecordType::Snapshot, &state)?),
+        (key::IDENTITY, record::encode(RecordType::Identity, &identity)?),
+        (key::VOTE, record::encode(RecordType::Vote, &Vote::new(term, store))?),
+        (key::SNAPSHOT_META, record::encode(RecordType::SnapshotMetadata, &meta)?),
+        (key::SNAPSHOT_STATE, record::encode(RecordType::Snapshot, &state)?),
     ];
     if let Some(last) = last {
-        records.push((key::PURGED, record::seal(RecordType::Position, &last)?));
+        records.push((key::PURGED, record::encode(RecordType::Position, &last)?));
     }
     Ok(records)
 }
--- a/crates/cluster/src/frame.rs
+++ b/crates/cluster/src/frame.rs
@@ -26,7 +26,7 @@
     record_type: RecordType,
     value: &T,
 ) -> io::Result<()> {
-    let record = record::seal(record_type, value).map_err(io::Error::other)?;
+    let record = record::encode(record_type, value).map_err(io::Error::other)?;
     if record.len() > MAX_FRAME_BYTES {
         return Err(io::Error::other(format!("a frame of {} bytes is too long", record.len())));
     }
@@ -57,7 +57,8 @@
         return Err(io::ErrorKind::UnexpectedEof.into());
     }
     stream.traffic().add_message_received();
-    record::open(record_type, &record).map_err(|corrupt| io::Error::new(io::ErrorKind::InvalidData, corrupt))
+    record::decode(record_type, &record)
+        .map_err(|corrupt| io::Error::new(io::ErrorKind::InvalidData, corrupt))
 }
 
 /// Sends a request and reads its response.
@@ -66,7 +67,7 @@
 /// As of [`send`] and [`receive`]; after one the connection must not be used any more.
 pub async fn exchange(stream: &mut CountedConnection, request: &PeerRequest) -> io::Result<PeerResponse> {
     send(stream, RecordType::Call, request).await?;
-    receive(stream, RecordType::Reply).await
+    receive(stream, RecordType::Response).await
 }
 
 /// Limits the time of an operation on a connection.
--- a/crates/cluster/src/link.rs
+++ b/crates/cluster/src/link.rs
@@ -8,7 +8,7 @@
 use crate::frame::{CountedConnection, exchange, receive, send, within};
 use crate::traffic::{Counted, Traffic, TrafficTotals};
 use crate::types::{PeerRequest, PeerResponse};
-use sedgerun_replication::greeting::{Greeting, Refusal, StoreId, admit};
+use sedgerun_replication::greeting::{Greeting, HandshakeError, StoreId, admit};
 use sedgerun_replication::record::RecordType;
 use sedgerun_replication::time::Millis;
 use sedgerun_replication::watermark::{Incarnation, Watermark, Watermarks};
@@ -116,12 +116,12 @@
     ///
     /// # Errors
     /// Why it rejects it.
-    pub fn admit(&self, own: &Greeting, theirs: &Greeting) -> Result<(), Refusal> {
+    pub fn admit(&self, own: &Greeting, theirs: &Greeting) -> Result<(), HandshakeError> {
         admit(own, theirs)?;
         let is_rolled_back = theirs.store.is_some_and(|store| {
             self.lock_watermarks().is_rolled_back(store, theirs.incarnation, theirs.initial_watermark)
         });
-        if is_rolled_back { Err(Refusal::RolledBack) } else { Ok(()) }
+        if is_rolled_back { Err(HandshakeError::RolledBack) } else { Ok(()) }
     }
 
     /// The address at which this head reaches another: that of its own settings, else the announced one; `None` if that
@@ -139,9 +139,9 @@
             let mut stream = self.counted(self.0.dial.dial(to).await?);
             let own = self.own();
             send(&mut stream, RecordType::Greeting, &own).await?;
-            let theirs: Result<Greeting, Refusal> = receive(&mut stream, RecordType::Greeting).await?;
-            let denied = |refusal: Refusal| io::Error::new(io::ErrorKind::PermissionDenied, refusal);
-            if theirs == Err(Refusal::RolledBack) {
+            let theirs: Result<Greeting, HandshakeError> = receive(&mut stream, RecordType::Greeting).await?;
+            let denied = |refusal: HandshakeError| io::Error::new(io::ErrorKind::PermissionDenied, refusal);
+            if theirs == Err(HandshakeError::RolledBack) {
                 self.0.rolled_back.store(true, Ordering::SeqCst);
             }
             let theirs = theirs.map_err(denied)?;
--- a/crates/cluster/src/member/origin.rs
+++ b/crates/cluster/src/member/origin.rs
@@ -4,7 +4,7 @@
 use crate::disk::{Identity, WriteError, key};
 use crate::types::VoterAddress;
 use openraft::error::{Fatal, InitializeError, RaftError};
-use sedgerun_replication::greeting::{Greeting, origin};
+use sedgerun_replication::greeting::{Greeting, cluster_origin};
 use sedgerun_replication::record::RecordType;
 use sedgerun_replication::store::StoreId;
 use std::collections::BTreeMap;
@@ -106,7 +106,7 @@
             members.insert(store, voter);
             origins.push((name, greeting.origin));
         }
-        let new_origin = origin(members.keys().copied());
+        let new_origin = cluster_origin(members.keys().copied());
         let in_use = origins.iter().find(|(_, origin)| origin.is_some_and(|origin| origin != new_origin));
         if let Some((name, _)) = in_use {
             return Err(BeginError::InUse((*name).clone()));
--- a/crates/cluster/src/member/respond.rs
+++ b/crates/cluster/src/member/respond.rs
@@ -80,9 +80,14 @@
     match request {
         PeerRequest::Append(rpc) => {
             let last = rpc.entries.last().map(|entry| entry.log_id).or(rpc.prev_log_id);
-            Some(Watermark { vote: rpc.vote.leader_id().term, last: last.map_or((0, 0), position) })
+            Some(Watermark {
+                vote_term: rpc.vote.leader_id().term,
+                last_entry: last.map_or((0, 0), position),
+            })
+        }
+        PeerRequest::Vote(rpc) => {
+            Some(Watermark { vote_term: rpc.vote.leader_id().term, last_entry: (0, 0) })
         }
-        PeerRequest::Vote(rpc) => Some(Watermark { vote: rpc.vote.leader_id().term, last: (0, 0) }),
         _ => None,
     }
 }
--- a/crates/cluster/src/member/role.rs
+++ b/crates/cluster/src/member/role.rs
@@ -59,7 +59,7 @@
     /// The heads over which updates come to this one, itself last, and how old its state may be, in milliseconds.
     pub fn path_and_age(&self) -> (Vec<String>, Option<u64>) {
         if self.votes() {
-            let silence = if self.leads() { 0 } else { self.election().leader_silence(now()) };
+            let silence = if self.leads() { 0 } else { self.election().time_since_heartbeat(now()) };
             return (vec![self.links.own().head], Some(silence));
         }
         let follower = self.follower();
--- a/crates/cluster/src/member/start.rs
+++ b/crates/cluster/src/member/start.rs
@@ -106,7 +106,7 @@
 ) -> Result<Greeting, EntropyError> {
     let identity = &opened.identity;
     Ok(Greeting {
-        fleet: settings.name.clone(),
+        cluster: settings.name.clone(),
         secret: settings.secret.clone(),
         head: head.to_owned(),
         store: Some(identity.store),
--- a/crates/cluster/src/member/status.rs
+++ b/crates/cluster/src/member/status.rs
@@ -19,7 +19,7 @@
         HeadStatus {
             role: self.role_name(trouble.is_some(), metrics.state, age).to_owned(),
             leader: if leads { Some(own.head.clone()) } else { self.leader().map(|leader| leader.head) },
-            fleet: own.fleet,
+            fleet: own.cluster,
             head: own.head,
             store: metrics.id,
             incarnation: own.incarnation.count,
--- a/crates/cluster/src/repair.rs
+++ b/crates/cluster/src/repair.rs
@@ -94,7 +94,7 @@
                 head: voter.head.clone(),
                 zone: voter.zone.clone(),
                 votes: voters.contains(store),
-                silent_ms: if is_own { 0 } else { now.saturating_sub(last_answer) },
+                ms_since_response: if is_own { 0 } else { now.saturating_sub(last_answer) },
                 lag: if is_own { Some(0) } else { lag },
             }
         });
@@ -178,10 +178,10 @@
         let is_member = |store: StoreId| members.iter().any(|member| member.store == store);
         let may_vote = |follower: &Downstream| !is_member(follower.store) && !is_relay(follower.store);
         let candidates = followers.into_values().filter(may_vote);
-        let candidates = candidates.map(|Downstream { at, store, zone, .. }| VoterCandidate {
+        let candidates = candidates.map(|Downstream { peer, store, zone, .. }| VoterCandidate {
             store,
-            head: at.head,
-            address: at.address,
+            head: peer.head,
+            address: peer.address,
             zone,
         });
         candidates.collect()
--- a/crates/cluster/src/serve.rs
+++ b/crates/cluster/src/serve.rs
@@ -6,9 +6,9 @@
 use crate::link::GREETING_TIMEOUT;
 use crate::member::Member;
 use crate::types::{PeerRequest, PeerResponse};
-use sedgerun_replication::greeting::{Greeting, Refusal};
+use sedgerun_replication::greeting::{Greeting, HandshakeError};
 use sedgerun_replication::record::RecordType;
-use sedgerun_replication::subscribe::SubscribeReply;
+use sedgerun_replication::subscribe::SubscribeResponse;
 use std::io;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -69,7 +69,7 @@
     let mut theirs: Greeting = within(GREETING_TIMEOUT, receive(&mut stream, RecordType::Greeting)).await?;
     let own = member.links.own();
     let admitted = member.links.admit(&own, &theirs);
-    let answer: Result<Greeting, Refusal> = admitted.clone().map(|()| own);
+    let answer: Result<Greeting, HandshakeError> = admitted.clone().map(|()| own);
     within(GREETING_TIMEOUT, send(&mut stream, RecordType::Greeting, &answer)).await?;
     if let Err(refusal) = admitted {
         return Err(io::Error::new(io::ErrorKind::PermissionDenied, format!("{} is {refusal}", theirs.head)));
@@ -78,9 +78,9 @@
     loop {
         let request: PeerRequest = within(IDLE_TIMEOUT, receive(&mut stream, RecordType::Call)).await?;
         let response = member.respond(request, &theirs).await;
-        within(RESPONSE_TIMEOUT, send(&mut stream, RecordType::Reply, &response)).await?;
+        within(RESPONSE_TIMEOUT, send(&mut stream, RecordType::Response, &response)).await?;
         // Guards against a whole zone that stays connected to a voter which has redirected it to its relays.
-        if let PeerResponse::Subscribed(SubscribeReply::Redirect(_)) = response {
+        if let PeerResponse::Subscribed(SubscribeResponse::Redirect(_)) = response {
             return Ok(());
         }
     }
--- a/crates/cluster/src/state_machine.rs
+++ b/crates/cluster/src/state_machine.rs
@@ -185,7 +185,7 @@
 }
 
 fn decode_state(bytes: &[u8]) -> Result<ReplicatedState, CorruptSnapshot> {
-    record::open(RecordType::Snapshot, bytes).map_err(CorruptSnapshot)
+    record::decode(RecordType::Snapshot, bytes).map_err(CorruptSnapshot)
 }
 
 impl RaftSnapshotBuilder<RaftTypes> for StateMachine {
@@ -194,7 +194,7 @@
             let data = self.lock();
             (data.state.clone(), data.applied, data.membership.clone())
         };
-        let bytes = record::seal(RecordType::Snapshot, &state);
+        let bytes = record::encode(RecordType::Snapshot, &state);
         let bytes = bytes.map_err(|error| storage_error(ErrorVerb::Write, error))?;
         let index = applied.map_or(0, |applied| applied.index);
         let term = applied.map_or(0, |applied| applied.leader_id.term);
--- a/crates/cluster/src/types/messages.rs
+++ b/crates/cluster/src/types/messages.rs
@@ -6,10 +6,10 @@
     AppendEntriesRequest, AppendEntriesResponse, InstallSnapshotRequest, InstallSnapshotResponse,
     VoteRequest, VoteResponse,
 };
-use sedgerun_replication::follow::{Downstream, UpdateReply};
+use sedgerun_replication::follow::{Downstream, LegacyUpdateResponse};
 use sedgerun_replication::state::{Change, ChangeOutcome};
 use sedgerun_replication::store::StoreId;
-use sedgerun_replication::subscribe::{SubscribeReply, Subscription};
+use sedgerun_replication::subscribe::{SubscribeResponse, Subscription};
 use sedgerun_replication::view::Chunk;
 use serde::{Deserialize, Serialize};
 
@@ -93,7 +93,7 @@
     /// To a pre-vote: this store, and whether it hears from no leader either and would not reject the sender's log.
     Silent(StoreId, bool),
     /// To a follower of an earlier version, with the origin of the cluster.
-    Update(Option<u64>, UpdateReply),
+    Update(Option<u64>, LegacyUpdateResponse),
     /// A chunk of the state.
     Chunk(Chunk),
     /// This head does not lead; this one does, as far as it knows.
@@ -101,7 +101,7 @@
     /// Not done, for this reason.
     Refused(String),
     /// To the poll of a follower.
-    Subscribed(SubscribeReply),
+    Subscribed(SubscribeResponse),
     /// The lease is granted.
     Registered,
     /// The position of the head among relays and followers.
--- a/crates/cluster/src/upstream.rs
+++ b/crates/cluster/src/upstream.rs
@@ -6,13 +6,13 @@
 use crate::environment::now;
 use crate::member::Member;
 use crate::types::{DistributionStatus, PeerResponse, UpdateRequest};
-use sedgerun_replication::follow::{Admission, Downstream, Peer, PollingFollower, UpdateReply};
+use sedgerun_replication::follow::{Admission, Downstream, LegacyUpdateResponse, Peer, PollingFollower};
 use sedgerun_replication::greeting::Greeting;
-use sedgerun_replication::relay::{Directory, FollowerRole, RelayStatus};
+use sedgerun_replication::relay::{FollowerRole, RelayDirectory, RelayStatus};
 use sedgerun_replication::store::StoreId;
 use sedgerun_replication::subscribe::{
-    CachedDigests, MAX_POLL_WAIT_MS, MAX_REDIRECT_PEERS, RELAY_WAIT_MS, Route, SubscribeReply, Subscription,
-    Summary,
+    CachedDigests, MAX_POLL_TIMEOUT_MS, MAX_REDIRECT_PEERS, RELAY_POLL_TIMEOUT_MS, Route, SubscribeResponse,
+    Subscription, SubtreeSummary,
 };
 use sedgerun_replication::transfer_permits::SMALL_CHUNK_BYTES;
 use sedgerun_replication::upstream::{UpdateSource, is_up_to_date, needs_permit, redirect};
@@ -34,7 +34,7 @@
             return PeerResponse::Refused("a follower has a store".into());
         };
         let downstream = Downstream {
-            at: Peer { head: from.head.clone(), address: from.address.clone() },
+            peer: Peer { head: from.head.clone(), address: from.address.clone() },
             store,
             zone: from.zone.clone(),
             version: subscription.version,
@@ -54,7 +54,7 @@
             }
             Admission::DuplicateName => return PeerResponse::Refused(DUPLICATE_NAME.into()),
         }
-        let wait = subscription.wait.min(MAX_POLL_WAIT_MS);
+        let wait = subscription.poll_timeout.min(MAX_POLL_TIMEOUT_MS);
         self.wait_for_change(wait, |version| !is_up_to_date(&subscription, version)).await;
         let Some(source) = self.update_source() else {
             return PeerResponse::Refused(NO_STATE_YET.into());
@@ -68,7 +68,7 @@
         source: &UpdateSource,
         subscription: &Subscription,
         store: StoreId,
-    ) -> SubscribeReply {
+    ) -> SubscribeResponse {
         let may_transfer = self.transfer_permits().is_available(now(), store);
         // A large chunk that could not be sent is not built.
         let max_bytes = if may_transfer { CHUNK_BYTES } else { SMALL_CHUNK_BYTES };
@@ -76,12 +76,12 @@
         if update.chunk.as_ref().is_some_and(needs_permit)
             && let Err(wait) = self.transfer_permits().acquire(now(), store)
         {
-            return SubscribeReply::RetryAfter(wait);
+            return SubscribeResponse::RetryAfter(wait);
         }
-        if update.chunk.as_ref().is_none_or(|chunk| chunk.upto == chunk.version) {
+        if update.chunk.as_ref().is_none_or(|chunk| chunk.up_to == chunk.version) {
             self.transfer_permits().release(store);
         }
-        SubscribeReply::Update(update)
+        SubscribeResponse::Update(update)
     }
 
     /// Answers the poll of a follower of an earlier version.
@@ -96,25 +96,28 @@
             role: FollowerRole::Head,
             // It cannot say whether it reaches a relay, so it is served as before there were relays.
             bypass_relays: true,
-            summary: subtree.map(Summary::of_list),
+            summary: subtree.map(SubtreeSummary::from_followers),
         };
         let admission = self.followers().admit(now(), follower, false);
         match admission {
             Admission::Admitted => {}
             Admission::DuplicateName => return PeerResponse::Refused(DUPLICATE_NAME.into()),
             Admission::Full | Admission::RedirectedToRelays => {
-                return PeerResponse::Update(None, UpdateReply::Full { redirect: self.legacy_redirect() });
+                return PeerResponse::Update(
+                    None,
+                    LegacyUpdateResponse::Full { redirect: self.legacy_redirect() },
+                );
             }
         }
         // A follower that is ahead of this head is answered at once, so that it looks for another.
         let is_due = |version| first_version != 0 || version_of_follower != since || version != since;
-        self.wait_for_change(wait_ms.min(RELAY_WAIT_MS), is_due).await;
+        self.wait_for_change(wait_ms.min(RELAY_POLL_TIMEOUT_MS), is_due).await;
         let Some(UpdateSource { route, age, .. }) = self.update_source() else {
             return PeerResponse::Refused(NO_STATE_YET.into());
         };
         let Route { origin, path, leader, voters } = route;
         let chunk = self.serve_chunk(since, first_version);
-        PeerResponse::Update(origin, UpdateReply::Chunk { chunk, path, age, leader, voters })
+        PeerResponse::Update(origin, LegacyUpdateResponse::Chunk { chunk, path, age, leader, voters })
     }
 
     /// The next chunk for a head that has everything up to `since`, in a transfer that began at `first_version`.
@@ -151,7 +154,7 @@
 
     /// The relays that this head knows: as a voter by their leases, else from its upstream; `None` if it does not know
     /// whether there are any.
-    pub fn directory(&self) -> Option<Directory> {
+    pub fn directory(&self) -> Option<RelayDirectory> {
         let registered = self.voting_registry().directory(now());
         registered.or_else(|| self.follower().directory().cloned())
     }
@@ -181,6 +184,6 @@
     }
 }
 
-fn redirected(directory: Option<Directory>, cached: CachedDigests, peers: Vec<Peer>) -> PeerResponse {
-    PeerResponse::Subscribed(SubscribeReply::Redirect(redirect(directory.as_ref(), cached, peers)))
+fn redirected(directory: Option<RelayDirectory>, cached: CachedDigests, peers: Vec<Peer>) -> PeerResponse {
+    PeerResponse::Subscribed(SubscribeResponse::Redirect(redirect(directory.as_ref(), cached, peers)))
 }
--- a/crates/cluster/src/voter_connection.rs
+++ b/crates/cluster/src/voter_connection.rs
@@ -82,7 +82,11 @@
             Ok(PeerResponse::Append(answer)) => {
                 if let AppendEntriesResponse::Success = answer {
                     let last = last.map_or((0, 0), |last| (last.leader_id.term, last.index));
-                    self.links.observe(self.target, self.incarnation, Watermark { vote, last });
+                    self.links.observe(
+                        self.target,
+                        self.incarnation,
+                        Watermark { vote_term: vote, last_entry: last },
+                    );
                 }
                 Ok(answer)
             }
@@ -119,7 +123,7 @@
         match self.request(&PeerRequest::Vote(rpc), &option).await {
             Ok(PeerResponse::Vote(answer)) => {
                 if answer.vote_granted {
-                    let watermark = Watermark { vote, ..Watermark::default() };
+                    let watermark = Watermark { vote_term: vote, ..Watermark::default() };
                     self.links.observe(self.target, self.incarnation, watermark);
                 }
                 Ok(answer)
--- a/crates/cluster/tests/frozen_messages.rs
+++ b/crates/cluster/tests/frozen_messages.rs
@@ -22,15 +22,15 @@
     DistributionStatus, Entry, HeadStatus, LogId, Membership, PeerRequest, PeerResponse, RelayRegistration,
     SnapshotMeta, UpdateRequest, Vote, VoterAddress, VoterStatus,
 };
-use sedgerun_replication::follow::{Downstream, Peer, UpdateReply, Voters};
-use sedgerun_replication::greeting::{Greeting, Refusal};
+use sedgerun_replication::follow::{Downstream, LegacyUpdateResponse, Peer, Voters};
+use sedgerun_replication::greeting::{Greeting, HandshakeError};
 use sedgerun_replication::record::{self, RecordType};
-use sedgerun_replication::relay::{Directory, FollowerRole, Relay, RelayStatus};
+use sedgerun_replication::relay::{FollowerRole, Relay, RelayDirectory, RelayStatus};
 use sedgerun_replication::state::{Change, ChangeOutcome, Command};
 use sedgerun_replication::subscribe::{
-    CachedDigests, Redirect, Route, SubscribeReply, Subscription, Summary, Update,
+    CachedDigests, Redirect, Route, SubscribeResponse, Subscription, SubtreeSummary, Update,
 };
-use sedgerun_replication::view::{Chunk, Fields, Key, Object, VersionedObject};
+use sedgerun_replication::view::{Chunk, ExportFields, Object, ObjectKey, VersionedObject};
 use sedgerun_replication::watermark::{Incarnation, Watermark};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -58,10 +58,10 @@
 where
     T: Serialize + DeserializeOwned,
 {
-    let written = record::seal(record_type, message).expect("a record");
+    let written = record::encode(record_type, message).expect("a record");
     if let Some(recorded) = section.compare(name, &written) {
-        let read: T = record::open(record_type, &recorded).expect("a message");
-        assert_eq!(record::seal(record_type, &read).expect("a record"), recorded, "{name}");
+        let read: T = record::decode(record_type, &recorded).expect("a message");
+        assert_eq!(record::encode(record_type, &read).expect("a record"), recorded, "{name}");
     }
 }
 
@@ -70,9 +70,9 @@
 where
     T: Serialize + DeserializeOwned + PartialEq + Debug,
 {
-    let written = record::seal(record_type, value).expect("a record");
+    let written = record::encode(record_type, value).expect("a record");
     if let Some(recorded) = section.compare(name, &written) {
-        assert_eq!(record::open::<T>(record_type, &recorded).as_ref(), Ok(value), "{name}");
+        assert_eq!(record::decode::<T>(record_type, &recorded).as_ref(), Ok(value), "{name}");
     }
 }
 
@@ -99,18 +99,22 @@
     }
 }
 
-fn fields() -> Fields {
+fn fields() -> ExportFields {
     let pairs = [("plan", "even"), ("shard", "3"), ("volume", "b1")];
     pairs.iter().map(|(key, value)| ((*key).to_owned(), (*value).to_owned())).collect()
 }
 
 fn change(key: &str) -> Change {
     let (tenant, export, fields) = ("horvat".into(), "press".into(), fields());
-    Change { key: key.into(), expect: Some(70_000), command: Command::PutExport { tenant, export, fields } }
+    Change {
+        key: key.into(),
+        expected_version: Some(70_000),
+        command: Command::PutExport { tenant, export, fields },
+    }
 }
 
 fn entries() -> [(&'static str, Entry); 3] {
-    let changes = vec![change("k1"), Change { expect: None, ..change("k2") }];
+    let changes = vec![change("k1"), Change { expected_version: None, ..change("k2") }];
     [
         ("blank", Entry { log_id: position(16, 89_001), payload: EntryPayload::Blank }),
         ("changes", Entry { log_id: position(16, 89_002), payload: EntryPayload::Normal(changes) }),
@@ -123,16 +127,16 @@
     vec![
         VersionedObject {
             version: 300,
-            key: Key::Tenant("horvat".into()),
+            key: ObjectKey::Tenant("horvat".into()),
             object: Some(Object::Tenant(exports)),
         },
-        VersionedObject { version: 301, key: Key::Backend("s-7".into()), object: Some(Object::Ban) },
-        VersionedObject { version: 302, key: Key::Tenant("gone".into()), object: None },
+        VersionedObject { version: 301, key: ObjectKey::Backend("s-7".into()), object: Some(Object::Ban) },
+        VersionedObject { version: 302, key: ObjectKey::Tenant("gone".into()), object: None },
     ]
 }
 
 fn chunk() -> Chunk {
-    Chunk { objects: objects(), upto: 302, version: 302, restart: false }
+    Chunk { objects: objects(), up_to: 302, version: 302, restart: false }
 }
 
 fn peer(head: &str) -> Peer {
@@ -140,7 +144,7 @@
 }
 
 fn downstream() -> Downstream {
-    Downstream { at: peer("n4"), store: STORE, zone: Some("a".into()), version: 70_000, incarnation: 300 }
+    Downstream { peer: peer("n4"), store: STORE, zone: Some("a".into()), version: 70_000, incarnation: 300 }
 }
 
 fn voters() -> Voters {
@@ -159,10 +163,10 @@
         version: 70_000,
         since: 70_001,
         first_version: 70_002,
-        wait: 3000,
+        poll_timeout: 3000,
         cached: CachedDigests { route: 0x89ab_cdef, directory: 0x0123_4567 },
         bypass_relays: true,
-        summary: Some(Summary { heads: 1000, lowest_version: 69_999, sample: vec![downstream()] }),
+        summary: Some(SubtreeSummary { heads: 1000, lowest_version: 69_999, sample: vec![downstream()] }),
     }
 }
 
@@ -174,7 +178,7 @@
         age: 1500,
         chunk: Some(chunk()),
         route: Some(route),
-        directory: Some(Directory::new([relay()])),
+        directory: Some(RelayDirectory::new([relay()])),
     }
 }
 
@@ -222,14 +226,14 @@
 
 fn greeting() -> Greeting {
     Greeting {
-        fleet: "rig".into(),
+        cluster: "rig".into(),
         secret: SECRET.into(),
         head: "n0".into(),
         store: Some(STORE),
         zone: Some("a".into()),
         address: "192.0.2.17:4410".into(),
         incarnation: Incarnation { count: 300, nonce: OTHER_STORE },
-        initial_watermark: Watermark { vote: 17, last: (16, 90_000) },
+        initial_watermark: Watermark { vote_term: 17, last_entry: (16, 90_000) },
         origin: Some(OTHER_STORE),
     }
 }
@@ -311,7 +315,7 @@
 /// Replies about changes and about how a head stands.
 fn replies() -> Vec<(&'static str, PeerResponse)> {
     vec![
-        ("changed", PeerResponse::Changed(ChangeOutcome::Done { version: 70_000, fresh: true })),
+        ("changed", PeerResponse::Changed(ChangeOutcome::Done { version: 70_000, created: true })),
         ("changed_missing", PeerResponse::Changed(ChangeOutcome::Missing("no tenant horvat".into()))),
         (
             "changed_conflict",
@@ -336,15 +340,15 @@
 /// Replies to the polls of followers.
 fn poll_replies() -> Vec<(&'static str, PeerResponse)> {
     let (path, leader, voters) = (vec!["n0".to_owned()], Some(peer("n0")), voters());
-    let legacy = UpdateReply::Chunk { chunk: chunk(), path, age: 1500, leader, voters };
-    let full = UpdateReply::Full { redirect: vec![peer("n4")] };
-    let redirect = Redirect { directory: Some(Directory::new([relay()])), peers: vec![peer("n4")] };
+    let legacy = LegacyUpdateResponse::Chunk { chunk: chunk(), path, age: 1500, leader, voters };
+    let full = LegacyUpdateResponse::Full { redirect: vec![peer("n4")] };
+    let redirect = Redirect { directory: Some(RelayDirectory::new([relay()])), peers: vec![peer("n4")] };
     vec![
         ("update", PeerResponse::Update(Some(OTHER_STORE), legacy)),
         ("update_full", PeerResponse::Update(None, full)),
-        ("subscribed_update", PeerResponse::Subscribed(SubscribeReply::Update(update()))),
-        ("subscribed_redirect", PeerResponse::Subscribed(SubscribeReply::Redirect(redirect))),
-        ("subscribed_retry_after", PeerResponse::Subscribed(SubscribeReply::RetryAfter(400))),
+        ("subscribed_update", PeerResponse::Subscribed(SubscribeResponse::Update(update()))),
+        ("subscribed_redirect", PeerResponse::Subscribed(SubscribeResponse::Redirect(redirect))),
+        ("subscribed_retry_after", PeerResponse::Subscribed(SubscribeResponse::RetryAfter(400))),
     ]
 }
 
@@ -361,7 +365,7 @@
 fn every_reply_between_heads_keeps_its_bytes() {
     let mut lines = section("reply");
     for (name, reply) in protocol_replies().into_iter().chain(replies()).chain(poll_replies()) {
-        check_message(&mut lines, name, RecordType::Reply, &reply);
+        check_message(&mut lines, name, RecordType::Response, &reply);
     }
     lines.close();
 }
@@ -376,7 +380,7 @@
     check_value(&mut lines, "vote", RecordType::Vote, &Vote::new(18, STORE));
     check_value(&mut lines, "vote_committed", RecordType::Vote, &Vote::new_committed(17, STORE));
     check_value(&mut lines, "position", RecordType::Position, &position(16, 89_000));
-    check_value(&mut lines, "snapshot_head", RecordType::SnapshotHead, &snapshot_meta());
+    check_value(&mut lines, "snapshot_head", RecordType::SnapshotMetadata, &snapshot_meta());
     for (name, entry) in entries() {
         check_value(&mut lines, &format!("entry_{name}"), RecordType::Entry, &entry);
     }
@@ -385,7 +389,7 @@
 
 /// A frame: the length of a record, then the record.
 fn framed<T: Serialize>(record_type: RecordType, value: &T) -> Vec<u8> {
-    let record = record::seal(record_type, value).expect("a record");
+    let record = record::encode(record_type, value).expect("a record");
     let mut frame = (record.len() as u32).to_le_bytes().to_vec();
     frame.extend(record);
     frame
@@ -442,9 +446,9 @@
 #[test]
 fn the_client_frames_its_calls_reads_replies_and_writes_a_backup_as_recorded() {
     let answers = [
-        ("greeting_answer", framed(RecordType::Greeting, &Ok::<Greeting, Refusal>(greeting()))),
-        ("reply_latest", framed(RecordType::Reply, &PeerResponse::Latest(302))),
-        ("reply_chunk", framed(RecordType::Reply, &PeerResponse::Chunk(chunk()))),
+        ("greeting_answer", framed(RecordType::Greeting, &Ok::<Greeting, HandshakeError>(greeting()))),
+        ("reply_latest", framed(RecordType::Response, &PeerResponse::Latest(302))),
+        ("reply_chunk", framed(RecordType::Response, &PeerResponse::Chunk(chunk()))),
     ];
     let mut lines = section("frame");
     for (name, frame) in &answers {
@@ -471,15 +475,22 @@
     let file = file_of("recorded.backup");
     std::fs::write(&file, unhex(line)).expect("a file");
     let answers = vec![
-        framed(RecordType::Greeting, &Ok::<Greeting, Refusal>(greeting())),
-        framed(RecordType::Reply, &PeerResponse::Changed(ChangeOutcome::Done { version: 2, fresh: true })),
+        framed(RecordType::Greeting, &Ok::<Greeting, HandshakeError>(greeting())),
+        framed(
+            RecordType::Response,
+            &PeerResponse::Changed(ChangeOutcome::Done { version: 2, created: true }),
+        ),
     ];
     let (address, served) = stand_in(answers);
     client::restore(&settings(address), "n9", &file).expect("a restored backup");
     std::fs::remove_file(&file).expect("a backup");
     let read = served.join().expect("the stand-in");
-    match record::open(RecordType::Call, &read[1][4..]) {
-        Ok(PeerRequest::Propose(Change { expect: None, command: Command::Restore(restored), .. })) => {
+    match record::decode(RecordType::Call, &read[1][4..]) {
+        Ok(PeerRequest::Propose(Change {
+            expected_version: None,
+            command: Command::Restore(restored),
+            ..
+        })) => {
             assert_eq!(restored, objects());
         }
         other => panic!("{other:?}"),
--- a/crates/replication/src/election.rs
+++ b/crates/replication/src/election.rs
@@ -31,7 +31,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ElectionStep {
     /// Nothing before this time, in milliseconds.
-    Wait(Millis),
+    WaitUntil(Millis),
     /// Ask these voters whether they hear from a leader.
     PreVote {
         /// Number of the round, which the answers carry.
@@ -106,7 +106,7 @@
     }
 
     /// Time since the last heartbeat of a leader, in milliseconds.
-    pub fn leader_silence(&self, now: Millis) -> Millis {
+    pub fn time_since_heartbeat(&self, now: Millis) -> Millis {
         now.saturating_sub(self.last_heartbeat_at)
     }
 
@@ -126,7 +126,7 @@
             self.next_step_at = self.next_step_at.max(retry_at);
         }
         if now < self.next_step_at {
-            return ElectionStep::Wait(self.next_step_at);
+            return ElectionStep::WaitUntil(self.next_step_at);
         }
         self.next_step_at = now + self.random_retry();
         self.rounds += 1;
@@ -143,7 +143,13 @@
     }
 
     /// A voter has answered a pre-vote; `is_silent` says that it hears from no leader either.
-    pub fn on_answer(&mut self, now: Millis, round: u64, from: StoreId, is_silent: bool) -> ElectionStep {
+    pub fn on_pre_vote_response(
+        &mut self,
+        now: Millis,
+        round: u64,
+        from: StoreId,
+        is_silent: bool,
+    ) -> ElectionStep {
         let hears_leader = self.hears_leader(now);
         match &mut self.pre_vote {
             // Guards against late answers: a heartbeat has arrived since, or another round has begun.
@@ -160,7 +166,7 @@
             }
             _ => {}
         }
-        ElectionStep::Wait(self.next_step_at)
+        ElectionStep::WaitUntil(self.next_step_at)
     }
 
     fn campaign(&mut self) -> ElectionStep {
--- a/crates/replication/src/follow/follower/mod.rs
+++ b/crates/replication/src/follow/follower/mod.rs
@@ -1,16 +1,16 @@
 //! One follower: which upstream it polls, when it looks for another, and what it accepts from an answer.
 //!
 //! [`Follower`] belongs to one head. The caller asks for the [next step](Follower::next_step), carries it out, and reports
-//! the answer ([`Follower::on_reply`]) or its absence ([`Follower::on_failure`]). The view is the caller's; a follower
+//! the answer ([`Follower::on_response`]) or its absence ([`Follower::on_failure`]). The view is the caller's; a follower
 //! changes it only by complete transfers from an upstream that it accepts.
 //!
 //! - `poll`: the types of steps and their reasons
 //! - `step`: what to do next, probes and backoff
-//! - `reply`: answers and failures, changes of upstream
+//! - `response`: answers and failures, changes of upstream
 //! - `update`: the content of one update
 
 mod poll;
-mod reply;
+mod response;
 mod step;
 mod update;
 
@@ -19,7 +19,7 @@
 use super::selection::{UpstreamCandidate, UpstreamCandidates};
 use crate::digest::digest_of;
 use crate::peer::{Peer, Voters};
-use crate::relay::{Directory, FollowerRole};
+use crate::relay::{FollowerRole, RelayDirectory};
 use crate::subscribe::{CachedDigests, Route};
 use crate::time::Millis;
 use crate::view::Transfer;
@@ -89,7 +89,7 @@
     pub fn cached_digests(&self) -> CachedDigests {
         CachedDigests {
             route: self.route.as_ref().map_or(0, digest_of),
-            directory: self.directory().map_or(0, Directory::digest),
+            directory: self.directory().map_or(0, RelayDirectory::digest),
         }
     }
 
@@ -105,7 +105,7 @@
     }
 
     /// The relays, as last received; `None` before an upstream has said whether there are any.
-    pub fn directory(&self) -> Option<&Directory> {
+    pub fn directory(&self) -> Option<&RelayDirectory> {
         self.candidates.directory()
     }
 
--- a/crates/replication/src/follow/follower/poll.rs
+++ b/crates/replication/src/follow/follower/poll.rs
@@ -15,7 +15,7 @@
     /// `first_version` of [`View::chunk`](crate::view::View::chunk).
     pub first_version: u64,
     /// How long the poll may wait there for a change, in milliseconds.
-    pub wait: Millis,
+    pub poll_timeout: Millis,
     /// The follower is to be served there although relays are known.
     pub bypass_relays: bool,
 }
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FollowerStep {
     /// Nothing before this time, in milliseconds.
-    Wait(Millis),
+    WaitUntil(Millis),
     /// Poll a head.
     Poll(UpstreamPoll),
 }
@@ -34,7 +34,7 @@
 pub enum Rejection {
     /// The upstream follows this head.
     #[error("it follows this head")]
-    Ring,
+    Cycle,
     /// Too many heads are between it and a voter.
     #[error("too many heads are between it and a voter")]
     TooDeep,
--- a/crates/replication/src/follow/follower/reply.rs
+++ b/crates/replication/src/follow/follower/response.rs
@@ -6,7 +6,7 @@
 use crate::follow::MAX_UPDATE_AGE_MS;
 use crate::follow::selection::{UpstreamCandidate, random_below};
 use crate::relay::FollowerRole;
-use crate::subscribe::{MAX_REDIRECT_PEERS, Redirect, SubscribeReply, Update};
+use crate::subscribe::{MAX_REDIRECT_PEERS, Redirect, SubscribeResponse, Update};
 use crate::time::Millis;
 use crate::view::View;
 
@@ -38,20 +38,20 @@
     ///
     /// # Errors
     /// Why the head is not followed.
-    pub fn on_reply(
+    pub fn on_response(
         &mut self,
         now: Millis,
         view: &mut View,
-        reply: SubscribeReply,
+        reply: SubscribeResponse,
     ) -> Result<bool, Rejection> {
         let purpose = self.purpose.take().unwrap_or(PollPurpose::Follow);
         match reply {
-            SubscribeReply::Update(update) => self.on_update(now, view, update, purpose),
-            SubscribeReply::Redirect(redirect) => {
+            SubscribeResponse::Update(update) => self.on_update(now, view, update, purpose),
+            SubscribeResponse::Redirect(redirect) => {
                 self.on_redirect(now, redirect, purpose);
                 Err(Rejection::Redirected)
             }
-            SubscribeReply::RetryAfter(wait) => {
+            SubscribeResponse::RetryAfter(wait) => {
                 self.on_busy(now, wait, purpose);
                 Err(Rejection::Busy)
             }
--- a/crates/replication/src/follow/follower/step.rs
+++ b/crates/replication/src/follow/follower/step.rs
@@ -5,7 +5,7 @@
 use super::poll::{FollowerStep, PollPurpose, ProbeReason, ScheduledProbe, UpstreamPoll};
 use crate::follow::selection::{UpstreamCandidate, random_below};
 use crate::relay::FollowerRole;
-use crate::subscribe::{HEAD_WAIT_MS, RELAY_WAIT_MS};
+use crate::subscribe::{HEAD_POLL_TIMEOUT_MS, RELAY_POLL_TIMEOUT_MS};
 use crate::time::Millis;
 use crate::view::View;
 
@@ -26,7 +26,7 @@
     /// What to do now; `serves_followers` says whether this head has followers itself.
     pub fn next_step(&mut self, now: Millis, view: &View, serves_followers: bool) -> FollowerStep {
         if now < self.next_step_at {
-            return FollowerStep::Wait(self.next_step_at);
+            return FollowerStep::WaitUntil(self.next_step_at);
         }
         let Some(upstream) = self.upstream.clone() else { return self.next_attachment(now, view) };
         let (since, first_version) = self.transfer.next_request(view);
@@ -40,26 +40,31 @@
             return FollowerStep::Poll(poll);
         }
         let polls_often = serves_followers || self.is_stale || self.role() == FollowerRole::Relay;
-        let wait = if polls_often { RELAY_WAIT_MS } else { HEAD_WAIT_MS };
-        let until_probe = self.probe.map_or(wait, |probe| probe.at.saturating_sub(now).max(1));
-        let poll = self.poll(&upstream, (since, first_version), wait.min(until_probe));
+        let poll_timeout = if polls_often { RELAY_POLL_TIMEOUT_MS } else { HEAD_POLL_TIMEOUT_MS };
+        let until_probe = self.probe.map_or(poll_timeout, |probe| probe.at.saturating_sub(now).max(1));
+        let poll = self.poll(&upstream, (since, first_version), poll_timeout.min(until_probe));
         self.purpose = Some(PollPurpose::Follow);
         FollowerStep::Poll(poll)
     }
 
     fn next_attachment(&mut self, now: Millis, view: &View) -> FollowerStep {
         let Some(candidate) = self.candidates.next(now, &self.voters, &mut self.rng) else {
-            return FollowerStep::Wait(now + MAX_BACKOFF_MS);
+            return FollowerStep::WaitUntil(now + MAX_BACKOFF_MS);
         };
         let poll = self.poll(&candidate, self.transfer.next_request(view), 0);
         self.purpose = Some(PollPurpose::Attach(candidate));
         FollowerStep::Poll(poll)
     }
 
-    fn poll(&self, to: &UpstreamCandidate, (since, first_version): (u64, u64), wait: Millis) -> UpstreamPoll {
+    fn poll(
+        &self,
+        to: &UpstreamCandidate,
+        (since, first_version): (u64, u64),
+        poll_timeout: Millis,
+    ) -> UpstreamPoll {
         // A head that knows relays polls another only if it reaches none, or is about to move to one.
         let bypass_relays = self.candidates.knows_relays() && !to.is_relay;
-        UpstreamPoll { peer: to.peer.clone(), since, first_version, wait, bypass_relays }
+        UpstreamPoll { peer: to.peer.clone(), since, first_version, poll_timeout, bypass_relays }
     }
 
     /// The head to probe now; if there is none, the probe is put off.
--- a/crates/replication/src/follow/follower/update.rs
+++ b/crates/replication/src/follow/follower/update.rs
@@ -2,7 +2,7 @@
 
 use super::Follower;
 use super::poll::{ProbeReason, Rejection};
-use crate::relay::Directory;
+use crate::relay::RelayDirectory;
 use crate::subscribe::{Route, Update};
 use crate::time::Millis;
 use crate::view::{Chunk, View};
@@ -33,7 +33,7 @@
     fn check_path(&self, path: &[String]) -> Result<(), Rejection> {
         // Guards against heads that follow each other in a ring, and only repeat what they knew.
         if path.contains(&self.own) {
-            return Err(Rejection::Ring);
+            return Err(Rejection::Cycle);
         }
         if path.len() >= MAX_DEPTH {
             return Err(Rejection::TooDeep);
@@ -66,8 +66,8 @@
         self.route = Some(route);
     }
 
-    pub(super) fn accept_directory(&mut self, now: Millis, directory: Directory) {
-        self.candidates.set_directory(Directory::new(directory.relays().iter().cloned()));
+    pub(super) fn accept_directory(&mut self, now: Millis, directory: RelayDirectory) {
+        self.candidates.set_directory(RelayDirectory::new(directory.relays().iter().cloned()));
         let Some(upstream) = self.upstream.clone() else { return };
         if self.is_stale || self.candidates.is_first_choice(&upstream) {
             return;
--- a/crates/replication/src/follow/followers.rs
+++ b/crates/replication/src/follow/followers.rs
@@ -7,7 +7,7 @@
 use crate::peer::{Downstream, Peer};
 use crate::relay::{FollowerRole, MAX_RELAYS};
 use crate::store::StoreId;
-use crate::subscribe::{MAX_SAMPLE, Summary};
+use crate::subscribe::{MAX_SAMPLE, SubtreeSummary};
 use crate::time::Millis;
 use std::collections::BTreeMap;
 
@@ -39,7 +39,7 @@
     /// It is to be served although relays are known.
     pub bypass_relays: bool,
     /// The summary of its subtree, if it has sent one.
-    pub summary: Option<Summary>,
+    pub summary: Option<SubtreeSummary>,
 }
 
 /// A follower that has polled lately.
@@ -48,7 +48,7 @@
     last_poll_at: Millis,
     downstream: Downstream,
     role: FollowerRole,
-    summary: Summary,
+    summary: SubtreeSummary,
 }
 
 /// The followers of this head.
@@ -104,14 +104,14 @@
         }
         let known = self.by_store.get(&downstream.store);
         if known.is_none() {
-            if self.by_store.values().any(|known| known.downstream.at.head == downstream.at.head) {
+            if self.by_store.values().any(|known| known.downstream.peer.head == downstream.peer.head) {
                 return Admission::DuplicateName;
             }
             if !self.has_capacity(role) {
                 return Admission::Full;
             }
         }
-        let summary = summary.map(Summary::bounded);
+        let summary = summary.map(SubtreeSummary::bounded);
         let summary = summary.or(known.map(|known| known.summary.clone())).unwrap_or_default();
         self.by_store
             .insert(downstream.store, KnownFollower { last_poll_at: now, downstream, role, summary });
@@ -124,7 +124,7 @@
 
     /// The direct followers, which may have capacity.
     pub fn peers(&self) -> Vec<Peer> {
-        self.by_store.values().map(|known| known.downstream.at.clone()).collect()
+        self.by_store.values().map(|known| known.downstream.peer.clone()).collect()
     }
 
     /// How many followers are served directly.
@@ -140,7 +140,7 @@
     }
 
     /// The summary of all followers of this head, direct and indirect.
-    pub fn summary(&self, now: Millis) -> Summary {
+    pub fn summary(&self, now: Millis) -> SubtreeSummary {
         let (mut heads, mut lowest_version) = (0u32, u64::MAX);
         for known in self.live(now) {
             heads = heads.saturating_add(1).saturating_add(known.summary.heads);
@@ -150,7 +150,7 @@
             }
         }
         let lowest_version = if heads == 0 { 0 } else { lowest_version };
-        Summary { heads, lowest_version, sample: self.sample(now) }
+        SubtreeSummary { heads, lowest_version, sample: self.sample(now) }
     }
 
     /// Ordinary heads of the subtree, spread evenly over it. Relays do not become voters, so they are left out.
--- a/crates/replication/src/follow/legacy.rs
+++ b/crates/replication/src/follow/legacy.rs
@@ -2,14 +2,14 @@
 //! the wire format.
 
 use crate::peer::{Peer, Voters};
-use crate::subscribe::{MAX_REDIRECT_PEERS, Redirect, Route, SubscribeReply, Update};
+use crate::subscribe::{MAX_REDIRECT_PEERS, Redirect, Route, SubscribeResponse, Update};
 use crate::time::Millis;
 use crate::view::Chunk;
 use serde::{Deserialize, Serialize};
 
 /// An answer to a follower of an earlier version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum UpdateReply {
+pub enum LegacyUpdateResponse {
     /// What the follower lacks, or an empty chunk if nothing has changed during its wait.
     Chunk {
         /// What it lacks.
@@ -30,19 +30,19 @@
     },
 }
 
-impl UpdateReply {
+impl LegacyUpdateResponse {
     /// Converts it to the answer to a subscription, with the fleet's origin as the upstream gave it.
-    pub fn into_subscribe_reply(self, origin: Option<u64>) -> SubscribeReply {
+    pub fn into_subscribe_response(self, origin: Option<u64>) -> SubscribeResponse {
         match self {
-            UpdateReply::Full { redirect: mut peers } => {
+            LegacyUpdateResponse::Full { redirect: mut peers } => {
                 peers.truncate(MAX_REDIRECT_PEERS);
-                SubscribeReply::Redirect(Redirect { directory: None, peers })
+                SubscribeResponse::Redirect(Redirect { directory: None, peers })
             }
-            UpdateReply::Chunk { chunk, path, age, leader, voters } => {
+            LegacyUpdateResponse::Chunk { chunk, path, age, leader, voters } => {
                 let route = Route { origin, path, leader, voters };
                 let version = chunk.version;
                 let (chunk, route) = (Some(chunk), Some(route));
-                SubscribeReply::Update(Update { version, age, chunk, route, directory: None })
+                SubscribeResponse::Update(Update { version, age, chunk, route, directory: None })
             }
         }
     }
--- a/crates/replication/src/follow/mod.rs
+++ b/crates/replication/src/follow/mod.rs
@@ -21,7 +21,7 @@
 pub use crate::peer::{Downstream, Peer, Voters};
 pub use follower::{Follower, FollowerStep, Rejection, UpstreamPoll};
 pub use followers::{Admission, Followers, PollingFollower};
-pub use legacy::UpdateReply;
+pub use legacy::LegacyUpdateResponse;
 
 use crate::time::Millis;
 
@@ -32,4 +32,4 @@
 /// A follower that has not polled for this long, in milliseconds, is forgotten.
 pub const FOLLOWER_TIMEOUT_MS: Millis = 5000;
 /// Time for an answer on top of the wait, in milliseconds; an upstream that takes longer is abandoned.
-pub const ANSWER_TIMEOUT_MS: Millis = 1000;
+pub const RESPONSE_TIMEOUT_MS: Millis = 1000;
--- a/crates/replication/src/follow/selection.rs
+++ b/crates/replication/src/follow/selection.rs
@@ -4,7 +4,7 @@
 
 use super::avoidance::Avoidance;
 use crate::peer::{Peer, Voters};
-use crate::relay::{Directory, FollowerRole, Relay};
+use crate::relay::{FollowerRole, Relay, RelayDirectory};
 use crate::time::Millis;
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::Rng;
@@ -41,7 +41,7 @@
     /// Those yet to be tried in this round; the last one is tried next.
     untried: Vec<UpstreamCandidate>,
     /// The relays; `None` before an upstream has said whether there are any.
-    directory: Option<Directory>,
+    directory: Option<RelayDirectory>,
     pub(super) avoidance: Avoidance,
     /// Position of the next head to be probed for a fresher state.
     next_probe_index: usize,
@@ -73,11 +73,11 @@
         self.region.as_deref()
     }
 
-    pub(super) fn directory(&self) -> Option<&Directory> {
+    pub(super) fn directory(&self) -> Option<&RelayDirectory> {
         self.directory.as_ref()
     }
 
-    pub(super) fn set_directory(&mut self, directory: Directory) {
+    pub(super) fn set_directory(&mut self, directory: RelayDirectory) {
         self.directory = Some(directory);
     }
 
--- a/crates/replication/src/greeting.rs
+++ b/crates/replication/src/greeting.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Greeting {
     /// The fleet's name in the settings.
-    pub fleet: String,
+    pub cluster: String,
     /// The secret that all heads of the fleet share.
     pub secret: String,
     /// The head's name.
@@ -26,25 +26,25 @@
     pub incarnation: Incarnation,
     /// How far its store was when this incarnation began.
     pub initial_watermark: Watermark,
-    /// The origin of its state: a digest of the first voters' stores ([`origin`]); `None` while it has no state.
+    /// The origin of its state: a digest of the first voters' stores ([`cluster_origin`]); `None` while it has no state.
     pub origin: Option<u64>,
 }
 
 /// Why a head rejects a connection.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, Error)]
-pub enum Refusal {
+pub enum HandshakeError {
     /// The other head belongs to a fleet with another name.
     #[error("of another fleet")]
-    Fleet,
+    OtherCluster,
     /// It does not know the secret.
     #[error("wrong secret")]
-    Secret,
+    WrongSecret,
     /// It has the state of another fleet, though one of the same name.
     #[error("holds the state of another fleet of this name")]
-    Origin,
+    OtherOrigin,
     /// It has this head's name, and another store.
     #[error("two heads have this name")]
-    Name,
+    DuplicateName,
     /// It has forgotten what it acknowledged: its disk is an older copy.
     #[error("an older copy of its disk, and has forgotten what it acknowledged")]
     RolledBack,
@@ -54,20 +54,20 @@
 ///
 /// # Errors
 /// Why it rejects it.
-pub fn admit(own: &Greeting, theirs: &Greeting) -> Result<(), Refusal> {
+pub fn admit(own: &Greeting, theirs: &Greeting) -> Result<(), HandshakeError> {
     if !secrets_match(own.secret.as_bytes(), theirs.secret.as_bytes()) {
-        return Err(Refusal::Secret);
+        return Err(HandshakeError::WrongSecret);
     }
-    if own.fleet != theirs.fleet {
-        return Err(Refusal::Fleet);
+    if own.cluster != theirs.cluster {
+        return Err(HandshakeError::OtherCluster);
     }
     // Guards against two fleets that were each set up under one name: their logs must never mix.
     if own.origin.zip(theirs.origin).is_some_and(|(own, theirs)| own != theirs) {
-        return Err(Refusal::Origin);
+        return Err(HandshakeError::OtherOrigin);
     }
     let stores = own.store.zip(theirs.store);
     if own.head == theirs.head && stores.is_some_and(|(own, theirs)| own != theirs) {
-        return Err(Refusal::Name);
+        return Err(HandshakeError::DuplicateName);
     }
     Ok(())
 }
@@ -78,7 +78,7 @@
 }
 
 /// The origin of a fleet whose first voters have these stores: the same on whichever head it is computed.
-pub fn origin(stores: impl IntoIterator<Item = StoreId>) -> u64 {
+pub fn cluster_origin(stores: impl IntoIterator<Item = StoreId>) -> u64 {
     let mut stores: Vec<StoreId> = stores.into_iter().collect();
     stores.sort_unstable();
     // FNV-1a over the sorted numbers, which are random already.
--- a/crates/replication/src/peer.rs
+++ b/crates/replication/src/peer.rs
@@ -17,7 +17,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Downstream {
     /// Its name and address.
-    pub at: Peer,
+    #[serde(rename = "at")]
+    pub peer: Peer,
     /// Its store.
     pub store: StoreId,
     /// Its zone, if it has one.
--- a/crates/replication/src/record.rs
+++ b/crates/replication/src/record.rs
@@ -30,7 +30,7 @@
     /// A position in the log.
     Position = 4,
     /// The metadata of a snapshot.
-    SnapshotHead = 5,
+    SnapshotMetadata = 5,
     /// The state in a snapshot.
     Snapshot = 6,
     /// The handshake on a connection between heads.
@@ -38,7 +38,7 @@
     /// A request of one head to another.
     Call = 8,
     /// The response to a request.
-    Reply = 9,
+    Response = 9,
     /// Watermarks of other stores.
     Watermarks = 10,
     /// The view of a follower.
@@ -78,7 +78,7 @@
 ///
 /// # Errors
 /// The serializer's.
-pub fn seal<T: Serialize>(record_type: RecordType, value: &T) -> Result<Vec<u8>, EncodeError> {
+pub fn encode<T: Serialize>(record_type: RecordType, value: &T) -> Result<Vec<u8>, EncodeError> {
     let mut record = postcard::to_extend(value, vec![0; HEADER_BYTES])?;
     let sum = checksum(record_type as u8, FORMAT_VERSION, &record[HEADER_BYTES..]);
     (record[0], record[1]) = (record_type as u8, FORMAT_VERSION);
@@ -90,7 +90,7 @@
 ///
 /// # Errors
 /// What is wrong with the record.
-pub fn open<T: DeserializeOwned>(record_type: RecordType, record: &[u8]) -> Result<T, CorruptRecord> {
+pub fn decode<T: DeserializeOwned>(record_type: RecordType, record: &[u8]) -> Result<T, CorruptRecord> {
     let &[found, format, a, b, c, d, ref body @ ..] = record else { return Err(CorruptRecord::Truncated) };
     if checksum(found, format, body) != u32::from_le_bytes([a, b, c, d]) {
         return Err(CorruptRecord::Checksum);
--- a/crates/replication/src/relay.rs
+++ b/crates/replication/src/relay.rs
@@ -53,18 +53,18 @@
 
 /// The live relays, in the order of their names.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Directory {
+pub struct RelayDirectory {
     relays: Vec<Relay>,
 }
 
-impl Directory {
+impl RelayDirectory {
     /// A directory of these relays, each name once; those past [`MAX_RELAYS`] are left out.
-    pub fn new(relays: impl IntoIterator<Item = Relay>) -> Directory {
+    pub fn new(relays: impl IntoIterator<Item = Relay>) -> RelayDirectory {
         let mut relays: Vec<Relay> = relays.into_iter().collect();
         relays.sort_by(|a, b| a.peer.head.cmp(&b.peer.head));
         relays.dedup_by(|a, b| a.peer.head == b.peer.head);
         relays.truncate(MAX_RELAYS);
-        Directory { relays }
+        RelayDirectory { relays }
     }
 
     /// The relays.
@@ -177,8 +177,8 @@
 
     /// The directory, or `None` while it may be incomplete: a voter that has just started does not know all live
     /// relays yet, and an empty directory would send their followers away.
-    pub fn directory(&self, now: Millis) -> Option<Directory> {
+    pub fn directory(&self, now: Millis) -> Option<RelayDirectory> {
         let is_complete = self.voting_since.is_some_and(|since| now >= since + LEASE_MS);
-        is_complete.then(|| Directory::new(self.relays(now).into_iter().map(|status| status.relay)))
+        is_complete.then(|| RelayDirectory::new(self.relays(now).into_iter().map(|status| status.relay)))
     }
 }
--- a/crates/replication/src/repair.rs
+++ b/crates/replication/src/repair.rs
@@ -6,7 +6,7 @@
 //! the group without a reachable majority.
 
 use crate::store::StoreId;
-use crate::view::Rules;
+use crate::view::VoterRules;
 use std::cmp::Reverse;
 
 /// Silence after which a voter counts as unreachable, in milliseconds: no change relies on it.
@@ -33,7 +33,7 @@
     /// It votes; otherwise it is a learner, which only receives the log.
     pub votes: bool,
     /// Time since its last answer, in milliseconds; 0 for the leader itself.
-    pub silent_ms: u64,
+    pub ms_since_response: u64,
     /// Log entries that it lacks; `None` if that is not known.
     pub lag: Option<u64>,
 }
@@ -83,7 +83,7 @@
 }
 
 /// Whether there may be something to do, so that it is worth collecting candidates.
-pub fn may_need_repair(rules: &Rules, members: &[GroupMember]) -> bool {
+pub fn may_need_repair(rules: &VoterRules, members: &[GroupMember]) -> bool {
     let voters = members.iter().filter(|member| member.votes).count();
     let needs_attention = |member: &GroupMember| {
         !member.votes || !is_reachable(member) || departure_reason(member, rules, members, &[]).is_some()
@@ -93,7 +93,7 @@
 
 /// The next membership change; `None` if there is nothing to do, or nothing can be done now.
 pub fn next_step(
-    rules: &Rules,
+    rules: &VoterRules,
     members: &[GroupMember],
     candidates: &[VoterCandidate],
     leader: StoreId,
@@ -116,18 +116,18 @@
 }
 
 fn is_reachable(member: &GroupMember) -> bool {
-    member.silent_ms < UNREACHABLE_AFTER_MS
+    member.ms_since_response < UNREACHABLE_AFTER_MS
 }
 
 /// How many heads are to vote: as the rules say, or as many as there are.
-fn target_size(rules: &Rules, voters: usize) -> usize {
+fn target_size(rules: &VoterRules, voters: usize) -> usize {
     if rules.voters == 0 { voters } else { usize::from(rules.voters) }
 }
 
 /// Why a voter has to leave; `None` for one that stays.
 fn departure_reason(
     member: &GroupMember,
-    rules: &Rules,
+    rules: &VoterRules,
     members: &[GroupMember],
     candidates: &[VoterCandidate],
 ) -> Option<DepartureReason> {
@@ -137,7 +137,7 @@
         || members.iter().any(|other| !other.votes && is_same_head(&other.head, other.store));
     if !is_reachable(member) && has_another_store {
         Some(DepartureReason::Wiped)
-    } else if member.silent_ms >= dead_after_ms {
+    } else if member.ms_since_response >= dead_after_ms {
         Some(DepartureReason::Dead)
     } else if rules.declared_dead.contains(&member.store) {
         Some(DepartureReason::DeclaredDead)
@@ -150,7 +150,7 @@
 
 /// The group as the leader sees it for one decision.
 struct VoterGroup<'a> {
-    rules: &'a Rules,
+    rules: &'a VoterRules,
     members: &'a [GroupMember],
     candidates: &'a [VoterCandidate],
     leader: StoreId,
@@ -165,7 +165,7 @@
 
 impl<'a> VoterGroup<'a> {
     fn new(
-        rules: &'a Rules,
+        rules: &'a VoterRules,
         members: &'a [GroupMember],
         candidates: &'a [VoterCandidate],
         leader: StoreId,
@@ -187,7 +187,7 @@
     /// What becomes of a learner: promoted once it is up to date, removed once it is not needed or not usable.
     fn step_with_learner(&self, learner: &GroupMember) -> Option<RepairStep> {
         // Guards against a learner that is dead itself: it would block the next.
-        let has_timed_out = learner.silent_ms >= LEARNER_TIMEOUT_MS;
+        let has_timed_out = learner.ms_since_response >= LEARNER_TIMEOUT_MS;
         if has_timed_out || !self.may_vote(&learner.head, learner.store) {
             return Some(RepairStep::Remove(learner.store));
         }
--- a/crates/replication/src/state.rs
+++ b/crates/replication/src/state.rs
@@ -5,12 +5,12 @@
 //! [`ChangeOutcome`] is part of the log's format.
 
 use crate::store::StoreId;
-use crate::view::{Fields, Key, Object, Rules, VersionedObject, View};
+use crate::view::{ExportFields, Object, ObjectKey, VersionedObject, View, VoterRules};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
 /// Outcomes that are remembered for changes that arrive again, at most; the oldest are dropped first.
-pub const MAX_ANSWERS: usize = 4096;
+pub const MAX_REMEMBERED_OUTCOMES: usize = 4096;
 /// The most tenants.
 pub const MAX_TENANTS: usize = 10_000;
 /// The most exports, of all tenants together.
@@ -20,9 +20,9 @@
 /// The most voters.
 pub const MAX_VOTERS: u8 = 7;
 /// Shortest and longest silence after which a voter is declared dead, in milliseconds.
-pub const DEAD_AFTER_MS: (u64, u64) = (1000, 7 * 86_400_000);
+pub const DEAD_AFTER_RANGE_MS: (u64, u64) = (1000, 7 * 86_400_000);
 /// The longest name, in bytes.
-pub const MAX_NAME: usize = 256;
+pub const MAX_NAME_BYTES: usize = 256;
 /// The most heads that are barred from voting, and the most stores that are declared dead.
 const MAX_RULE_ENTRIES: usize = 256;
 
@@ -34,7 +34,7 @@
         /// Its name.
         tenant: String,
         /// Its exports.
-        exports: BTreeMap<String, Fields>,
+        exports: BTreeMap<String, ExportFields>,
     },
     /// Put one export of a tenant; the tenant is created if there is none.
     PutExport {
@@ -43,7 +43,7 @@
         /// The export's name.
         export: String,
         /// Its settings.
-        fields: Fields,
+        fields: ExportFields,
     },
     /// Delete a tenant with all its exports.
     DeleteTenant {
@@ -87,7 +87,7 @@
     /// Idempotency key: the same change sent again has the same key, and gets the first outcome.
     pub key: String,
     /// Compare-and-set: the version that the tenant must have, 0 for no such tenant.
-    pub expect: Option<u64>,
+    pub expected_version: Option<u64>,
     /// The command.
     pub command: Command,
 }
@@ -100,7 +100,7 @@
         /// The version of the state since then.
         version: u64,
         /// Whether the object did not exist before.
-        fresh: bool,
+        created: bool,
     },
     /// There is no object of that name; the text names it.
     Missing(String),
@@ -118,43 +118,43 @@
     /// What heads read of it.
     pub view: View,
     /// Recent changes with their outcomes, by idempotency key.
-    answers: BTreeMap<String, (Change, ChangeOutcome)>,
+    outcomes: BTreeMap<String, (Change, ChangeOutcome)>,
     /// Keys of `answers`, the oldest first.
-    answer_order: VecDeque<String>,
+    outcome_order: VecDeque<String>,
 }
 
 impl ReplicatedState {
     /// A state that begins with the view of another, without its remembered outcomes.
-    pub fn of(view: View) -> ReplicatedState {
+    pub fn from_view(view: View) -> ReplicatedState {
         ReplicatedState { view, ..ReplicatedState::default() }
     }
 
     /// Applies one change. A change with a known key is not applied again.
     pub fn apply(&mut self, change: Change) -> ChangeOutcome {
-        if let Some((first, outcome)) = self.answers.get(&change.key) {
+        if let Some((first, outcome)) = self.outcomes.get(&change.key) {
             // Guards against a retry whose first answer did not arrive: it must neither happen twice nor be reported
             // as a conflict with itself.
             return if *first == change { outcome.clone() } else { ChangeOutcome::Reused };
         }
         let outcome = self.execute(&change).unwrap_or_else(|rejected| rejected);
-        self.answer_order.push_back(change.key.clone());
-        self.answers.insert(change.key.clone(), (change, outcome.clone()));
-        while self.answer_order.len() > MAX_ANSWERS {
-            if let Some(oldest) = self.answer_order.pop_front() {
-                self.answers.remove(&oldest);
+        self.outcome_order.push_back(change.key.clone());
+        self.outcomes.insert(change.key.clone(), (change, outcome.clone()));
+        while self.outcome_order.len() > MAX_REMEMBERED_OUTCOMES {
+            if let Some(oldest) = self.outcome_order.pop_front() {
+                self.outcomes.remove(&oldest);
             }
         }
         outcome
     }
 
     /// The remembered changes with their outcomes, by idempotency key.
-    pub fn answers(&self) -> &BTreeMap<String, (Change, ChangeOutcome)> {
-        &self.answers
+    pub fn remembered_outcomes(&self) -> &BTreeMap<String, (Change, ChangeOutcome)> {
+        &self.outcomes
     }
 
     /// The keys of the remembered outcomes, the oldest first.
-    pub fn answer_order(&self) -> &VecDeque<String> {
-        &self.answer_order
+    pub fn outcome_order(&self) -> &VecDeque<String> {
+        &self.outcome_order
     }
 
     /// Whether another tenant has an export of this name. Export names are unique over all tenants: clients attach by
@@ -175,13 +175,13 @@
         }
         let tenant_version =
             tenant.and_then(|tenant| self.view.tenants.get(tenant)).map_or(0, |tenant| tenant.version);
-        if change.expect.is_some_and(|expected| expected != tenant_version) {
+        if change.expected_version.is_some_and(|expected| expected != tenant_version) {
             return Err(ChangeOutcome::Stale(tenant_version));
         }
-        let ObjectChange { key, object, fresh } = self.object_change(&change.command)?;
+        let ObjectChange { key, object, created } = self.object_change(&change.command)?;
         let version = self.view.version + 1;
         self.view.put(VersionedObject { version, key, object });
-        Ok(ChangeOutcome::Done { version, fresh })
+        Ok(ChangeOutcome::Done { version, created })
     }
 
     /// What a command does to which object.
@@ -194,7 +194,7 @@
             Command::Ban { backend, banned } => self.ban(backend, *banned),
             _ => {
                 let rules = self.updated_rules(command)?;
-                Ok(ObjectChange { key: Key::Rules, object: Some(Object::Rules(rules)), fresh: false })
+                Ok(ObjectChange { key: ObjectKey::Rules, object: Some(Object::Rules(rules)), created: false })
             }
         }
     }
@@ -202,7 +202,7 @@
     fn put_tenant(
         &self,
         name: &str,
-        exports: &BTreeMap<String, Fields>,
+        exports: &BTreeMap<String, ExportFields>,
     ) -> Result<ObjectChange, ChangeOutcome> {
         exports.keys().try_for_each(|export| self.check_export_name(name, export))?;
         let tenant = self.view.tenants.get(name);
@@ -211,12 +211,17 @@
         Ok(ObjectChange::of_tenant(name, Some(exports.clone()), tenant.is_none()))
     }
 
-    fn put_export(&self, tenant: &str, export: &str, fields: &Fields) -> Result<ObjectChange, ChangeOutcome> {
+    fn put_export(
+        &self,
+        tenant: &str,
+        export: &str,
+        fields: &ExportFields,
+    ) -> Result<ObjectChange, ChangeOutcome> {
         self.check_export_name(tenant, export)?;
         let mut exports = self.exports(tenant).unwrap_or_default();
         self.check_capacity(tenant, usize::from(!exports.contains_key(export)))?;
-        let fresh = exports.insert(export.to_owned(), fields.clone()).is_none();
-        Ok(ObjectChange::of_tenant(tenant, Some(exports), fresh))
+        let created = exports.insert(export.to_owned(), fields.clone()).is_none();
+        Ok(ObjectChange::of_tenant(tenant, Some(exports), created))
     }
 
     fn delete_tenant(&self, name: &str) -> Result<ObjectChange, ChangeOutcome> {
@@ -242,15 +247,15 @@
         if banned && !was_banned && self.view.bans.len() >= MAX_BANS {
             return Err(ChangeOutcome::Conflict("the fleet holds no more bans".into()));
         }
-        let key = Key::Backend(backend.to_owned());
-        Ok(ObjectChange { key, object: banned.then_some(Object::Ban), fresh: banned && !was_banned })
+        let key = ObjectKey::Backend(backend.to_owned());
+        Ok(ObjectChange { key, object: banned.then_some(Object::Ban), created: banned && !was_banned })
     }
 
-    fn exports(&self, tenant: &str) -> Option<BTreeMap<String, Fields>> {
+    fn exports(&self, tenant: &str) -> Option<BTreeMap<String, ExportFields>> {
         self.view.tenants.get(tenant).map(|tenant| tenant.exports.clone())
     }
 
-    fn updated_rules(&self, command: &Command) -> Result<Rules, ChangeOutcome> {
+    fn updated_rules(&self, command: &Command) -> Result<VoterRules, ChangeOutcome> {
         let mut rules = self.view.rules.clone();
         match command {
             Command::SetVoters(voters) => {
@@ -262,7 +267,7 @@
                 rules.voters = *voters;
             }
             Command::SetDeadAfter(after) => {
-                let (least, most) = DEAD_AFTER_MS;
+                let (least, most) = DEAD_AFTER_RANGE_MS;
                 if !(least..=most).contains(after) {
                     return Err(ChangeOutcome::Conflict(format!(
                         "lost-after is {least} to {most} milliseconds"
@@ -303,7 +308,7 @@
             version += 1;
             self.view.put(VersionedObject { version, ..object.clone() });
         }
-        Ok(ChangeOutcome::Done { version, fresh: true })
+        Ok(ChangeOutcome::Done { version, created: true })
     }
 
     /// Whether a tenant may have an export of this name.
@@ -330,16 +335,16 @@
 
 /// What a command does to one object.
 struct ObjectChange {
-    key: Key,
+    key: ObjectKey,
     /// The object; `None` if it is removed.
     object: Option<Object>,
     /// The object, or the export in it, did not exist before.
-    fresh: bool,
+    created: bool,
 }
 
 impl ObjectChange {
-    fn of_tenant(name: &str, exports: Option<BTreeMap<String, Fields>>, fresh: bool) -> ObjectChange {
-        ObjectChange { key: Key::Tenant(name.to_owned()), object: exports.map(Object::Tenant), fresh }
+    fn of_tenant(name: &str, exports: Option<BTreeMap<String, ExportFields>>, created: bool) -> ObjectChange {
+        ObjectChange { key: ObjectKey::Tenant(name.to_owned()), object: exports.map(Object::Tenant), created }
     }
 }
 
@@ -356,10 +361,10 @@
 
 /// Whether a name of a tenant, an export, a backend or a head is acceptable.
 fn check_name(name: &str) -> Result<(), ChangeOutcome> {
-    let is_valid = !name.is_empty() && name.len() <= MAX_NAME && !name.chars().any(char::is_control);
+    let is_valid = !name.is_empty() && name.len() <= MAX_NAME_BYTES && !name.chars().any(char::is_control);
     if is_valid {
         Ok(())
     } else {
-        Err(ChangeOutcome::Conflict(format!("a name is 1 to {MAX_NAME} bytes of text")))
+        Err(ChangeOutcome::Conflict(format!("a name is 1 to {MAX_NAME_BYTES} bytes of text")))
     }
 }
--- a/crates/replication/src/subscribe.rs
+++ b/crates/replication/src/subscribe.rs
@@ -7,22 +7,22 @@
 //! The order of the fields and variants of all messages is part of the wire format ([`record`](crate::record)).
 
 use crate::peer::{Downstream, Peer, Voters};
-use crate::relay::{Directory, FollowerRole};
+use crate::relay::{FollowerRole, RelayDirectory};
 use crate::time::Millis;
 use crate::view::Chunk;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// How long a poll of an ordinary head waits at its upstream, in milliseconds. With [`RELAY_WAIT_MS`] and the time for
+/// How long a poll of an ordinary head waits at its upstream, in milliseconds. With [`RELAY_POLL_TIMEOUT_MS`] and the time for
 /// an answer in front of it, the state of a head behind a relay is known to be the newest within
 /// [`MAX_UPDATE_AGE_MS`](crate::follow::MAX_UPDATE_AGE_MS) (1 s at the relay, 3 s here, and 1 s to spare).
-pub const HEAD_WAIT_MS: Millis = 3000;
+pub const HEAD_POLL_TIMEOUT_MS: Millis = 3000;
 /// How long the poll of a relay waits, of any other head that serves followers, and of one whose upstream is stale, in
 /// milliseconds: each head on the route adds its own wait to the age of an update.
-pub const RELAY_WAIT_MS: Millis = 1000;
+pub const RELAY_POLL_TIMEOUT_MS: Millis = 1000;
 /// The longest wait that an upstream grants, in milliseconds.
-pub const MAX_POLL_WAIT_MS: Millis = HEAD_WAIT_MS;
-/// Followers named in a [`Summary`], at most.
+pub const MAX_POLL_TIMEOUT_MS: Millis = HEAD_POLL_TIMEOUT_MS;
+/// Followers named in a [`SubtreeSummary`], at most.
 pub const MAX_SAMPLE: usize = 16;
 /// Peers named in a [`Redirect`], at most.
 pub const MAX_REDIRECT_PEERS: usize = 64;
@@ -42,13 +42,13 @@
 pub struct CachedDigests {
     /// Of the [`Route`].
     pub route: u32,
-    /// Of the [`Directory`].
+    /// Of the [`RelayDirectory`].
     pub directory: u32,
 }
 
 /// A fixed-size description of all followers behind one head.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Summary {
+pub struct SubtreeSummary {
     /// How many there are.
     pub heads: u32,
     /// The lowest version that one of them has.
@@ -57,22 +57,22 @@
     pub sample: Vec<Downstream>,
 }
 
-impl Summary {
+impl SubtreeSummary {
     /// The summary of a complete list, as heads of earlier versions send it.
-    pub fn of_list(list: Vec<Downstream>) -> Summary {
+    pub fn from_followers(list: Vec<Downstream>) -> SubtreeSummary {
         let lowest_version = list.iter().map(|follower| follower.version).min().unwrap_or(0);
         let heads = u32::try_from(list.len()).unwrap_or(u32::MAX);
-        Summary { heads, lowest_version, sample: list.into_iter().take(MAX_SAMPLE).collect() }
+        SubtreeSummary { heads, lowest_version, sample: list.into_iter().take(MAX_SAMPLE).collect() }
     }
 
     /// The same with no more than [`MAX_SAMPLE`] followers named.
-    pub fn bounded(mut self) -> Summary {
+    pub fn bounded(mut self) -> SubtreeSummary {
         self.sample.truncate(MAX_SAMPLE);
         self
     }
 
-    fn has_same_followers(&self, other: &Summary) -> bool {
-        let stores = |summary: &Summary| -> Vec<_> {
+    fn has_same_followers(&self, other: &SubtreeSummary) -> bool {
+        let stores = |summary: &SubtreeSummary| -> Vec<_> {
             summary.sample.iter().map(|follower| (follower.store, follower.incarnation)).collect()
         };
         self.heads == other.heads && stores(self) == stores(other)
@@ -93,13 +93,13 @@
     /// The version at which that transfer began; 0 if there is none.
     pub first_version: u64,
     /// How long it waits for a change, in milliseconds.
-    pub wait: Millis,
+    pub poll_timeout: Millis,
     /// What it has cached.
     pub cached: CachedDigests,
     /// It reaches no relay, or is about to move to one: it is to be served here although relays are known.
     pub bypass_relays: bool,
     /// The summary of its subtree, if that is to be sent now.
-    pub summary: Option<Summary>,
+    pub summary: Option<SubtreeSummary>,
 }
 
 /// The heads over which updates come, and the voters.
@@ -127,21 +127,21 @@
     /// The route, if the follower has cached another.
     pub route: Option<Route>,
     /// The relays, if the follower has cached another directory.
-    pub directory: Option<Directory>,
+    pub directory: Option<RelayDirectory>,
 }
 
 /// Other heads to poll instead.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Redirect {
     /// The relays, if the follower has cached another directory.
-    pub directory: Option<Directory>,
+    pub directory: Option<RelayDirectory>,
     /// Followers of this head, which may have capacity.
     pub peers: Vec<Peer>,
 }
 
 /// The answer to a [`Subscription`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum SubscribeReply {
+pub enum SubscribeResponse {
     /// What the follower lacks, or that it lacks nothing.
     Update(Update),
     /// It is to poll other heads.
@@ -153,7 +153,7 @@
 /// Decides when a follower sends the summary of its subtree.
 #[derive(Debug, Default)]
 pub struct SummaryReporter {
-    last: Option<(Millis, Summary)>,
+    last: Option<(Millis, SubtreeSummary)>,
 }
 
 impl SummaryReporter {
@@ -163,7 +163,7 @@
     }
 
     /// The summary, if it is to be sent now.
-    pub fn due(&mut self, now: Millis, summary: Summary) -> Option<Summary> {
+    pub fn next_report(&mut self, now: Millis, summary: SubtreeSummary) -> Option<SubtreeSummary> {
         let is_due = match &self.last {
             None => summary.heads > 0,
             Some((sent_at, sent)) => {
--- a/crates/replication/src/upstream.rs
+++ b/crates/replication/src/upstream.rs
@@ -4,7 +4,7 @@
 //! all is decided by [`Followers`](crate::follow::Followers).
 
 use crate::peer::Peer;
-use crate::relay::Directory;
+use crate::relay::RelayDirectory;
 use crate::subscribe::{CachedDigests, MAX_REDIRECT_PEERS, Redirect, Route, Subscription, Update};
 use crate::time::Millis;
 use crate::transfer_permits::SMALL_CHUNK_BYTES;
@@ -19,7 +19,7 @@
 /// Whether a chunk needs a permit of [`TransferPermits`](crate::transfer_permits::TransferPermits), as part of a large
 /// transfer.
 pub fn needs_permit(chunk: &Chunk) -> bool {
-    chunk.upto < chunk.version || chunk.size() > SMALL_CHUNK_BYTES
+    chunk.up_to < chunk.version || chunk.size() > SMALL_CHUNK_BYTES
 }
 
 /// What a head sends its followers beside its view.
@@ -30,7 +30,7 @@
     /// How old its view may be, in milliseconds.
     pub age: Millis,
     /// The relays that it knows; `None` if it does not know whether there are any.
-    pub directory: Option<Directory>,
+    pub directory: Option<RelayDirectory>,
 }
 
 impl UpdateSource {
@@ -50,12 +50,12 @@
 }
 
 /// The directory, if the follower has another one.
-fn missing_directory(directory: Option<&Directory>, cached: CachedDigests) -> Option<Directory> {
+fn missing_directory(directory: Option<&RelayDirectory>, cached: CachedDigests) -> Option<RelayDirectory> {
     directory.filter(|directory| directory.digest() != cached.directory).cloned()
 }
 
 /// Redirects a follower that is not served here: to the relays, and to these peers.
-pub fn redirect(directory: Option<&Directory>, cached: CachedDigests, mut peers: Vec<Peer>) -> Redirect {
+pub fn redirect(directory: Option<&RelayDirectory>, cached: CachedDigests, mut peers: Vec<Peer>) -> Redirect {
     peers.truncate(MAX_REDIRECT_PEERS);
     Redirect { directory: missing_directory(directory, cached), peers }
 }
--- a/crates/replication/src/view.rs
+++ b/crates/replication/src/view.rs
@@ -18,7 +18,7 @@
 
 /// The settings of an export, as key and value in the terms of the operator's file, without `tenant` and `name`. Each
 /// head checks them against its own settings.
-pub type Fields = BTreeMap<String, String>;
+pub type ExportFields = BTreeMap<String, String>;
 
 /// A tenant with its exports.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -26,12 +26,12 @@
     /// Version of the state at its last change; what compare-and-set compares.
     pub version: u64,
     /// Its exports by name.
-    pub exports: BTreeMap<String, Fields>,
+    pub exports: BTreeMap<String, ExportFields>,
 }
 
 /// The operators' rules for the voters.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Rules {
+pub struct VoterRules {
     /// How many heads are to vote; 0 for as many as there are.
     pub voters: u8,
     /// Silence after which a voter is declared dead and replaced, in milliseconds; 0 for the default.
@@ -44,7 +44,7 @@
 
 /// Key of an object.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Key {
+pub enum ObjectKey {
     /// A tenant.
     Tenant(String),
     /// A backend that is banned at all heads.
@@ -57,11 +57,11 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Object {
     /// A tenant with its exports.
-    Tenant(BTreeMap<String, Fields>),
+    Tenant(BTreeMap<String, ExportFields>),
     /// A ban.
     Ban,
     /// The rules.
-    Rules(Rules),
+    Rules(VoterRules),
 }
 
 /// An object, or its tombstone, with the version of its last change.
@@ -70,7 +70,7 @@
     /// The version.
     pub version: u64,
     /// Its key.
-    pub key: Key,
+    pub key: ObjectKey,
     /// The object; `None` if it was removed.
     pub object: Option<Object>,
 }
@@ -79,11 +79,12 @@
     /// Its approximate size, in bytes.
     fn size(&self) -> usize {
         let name = match &self.key {
-            Key::Tenant(name) | Key::Backend(name) => name.len(),
-            Key::Rules => 0,
+            ObjectKey::Tenant(name) | ObjectKey::Backend(name) => name.len(),
+            ObjectKey::Rules => 0,
+        };
+        let pairs = |fields: &ExportFields| {
+            fields.iter().map(|(key, value)| key.len() + value.len() + 4).sum::<usize>()
         };
-        let pairs =
-            |fields: &Fields| fields.iter().map(|(key, value)| key.len() + value.len() + 4).sum::<usize>();
         let object: usize = match &self.object {
             Some(Object::Tenant(exports)) => {
                 exports.iter().map(|(name, fields)| name.len() + 4 + pairs(fields)).sum()
@@ -101,8 +102,8 @@
     /// The objects, in the order of their versions.
     pub objects: Vec<VersionedObject>,
     /// The follower has everything up to this version once it has these.
-    pub upto: u64,
-    /// The version of the head that serves it; the transfer is complete when `upto` reaches it.
+    pub up_to: u64,
+    /// The version of the head that serves it; the transfer is complete when `up_to` reaches it.
     pub version: u64,
     /// Start over: this chunk is the first of a transfer of everything.
     pub restart: bool,
@@ -125,11 +126,11 @@
     /// Backends that are banned at all heads, each with the version of its ban.
     pub bans: BTreeMap<String, u64>,
     /// The rules.
-    pub rules: Rules,
+    pub rules: VoterRules,
     /// Every object and tombstone by the version of its last change.
-    by_version: BTreeMap<u64, Key>,
+    by_version: BTreeMap<u64, ObjectKey>,
     /// Of every object and tombstone, the version of its last change.
-    versions: BTreeMap<Key, u64>,
+    versions: BTreeMap<ObjectKey, u64>,
     tombstones: usize,
     /// Tombstones up to this version were dropped.
     floor: u64,
@@ -146,24 +147,24 @@
         self.by_version.insert(version, key.clone());
         self.tombstones += usize::from(object.is_none());
         match (key, object) {
-            (Key::Tenant(name), Some(Object::Tenant(exports))) => {
+            (ObjectKey::Tenant(name), Some(Object::Tenant(exports))) => {
                 self.tenants.insert(name, Tenant { version, exports });
             }
-            (Key::Backend(name), Some(_)) => drop(self.bans.insert(name, version)),
-            (Key::Rules, Some(Object::Rules(rules))) => self.rules = rules,
-            (Key::Tenant(name), _) => drop(self.tenants.remove(&name)),
-            (Key::Backend(name), None) => drop(self.bans.remove(&name)),
-            (Key::Rules, _) => self.rules = Rules::default(),
+            (ObjectKey::Backend(name), Some(_)) => drop(self.bans.insert(name, version)),
+            (ObjectKey::Rules, Some(Object::Rules(rules))) => self.rules = rules,
+            (ObjectKey::Tenant(name), _) => drop(self.tenants.remove(&name)),
+            (ObjectKey::Backend(name), None) => drop(self.bans.remove(&name)),
+            (ObjectKey::Rules, _) => self.rules = VoterRules::default(),
         }
         self.version = self.version.max(version);
         self.prune_tombstones();
     }
 
-    fn contains(&self, key: &Key) -> bool {
+    fn contains(&self, key: &ObjectKey) -> bool {
         match key {
-            Key::Tenant(name) => self.tenants.contains_key(name),
-            Key::Backend(name) => self.bans.contains_key(name),
-            Key::Rules => true,
+            ObjectKey::Tenant(name) => self.tenants.contains_key(name),
+            ObjectKey::Backend(name) => self.bans.contains_key(name),
+            ObjectKey::Rules => true,
         }
     }
 
@@ -180,11 +181,11 @@
         }
     }
 
-    fn object(&self, version: u64, key: &Key) -> VersionedObject {
+    fn object(&self, version: u64, key: &ObjectKey) -> VersionedObject {
         let object = match key {
-            Key::Tenant(tenant) => self.tenants.get(tenant).map(|t| Object::Tenant(t.exports.clone())),
-            Key::Backend(backend) => self.bans.get(backend).map(|_| Object::Ban),
-            Key::Rules => Some(Object::Rules(self.rules.clone())),
+            ObjectKey::Tenant(tenant) => self.tenants.get(tenant).map(|t| Object::Tenant(t.exports.clone())),
+            ObjectKey::Backend(backend) => self.bans.get(backend).map(|_| Object::Ban),
+            ObjectKey::Rules => Some(Object::Rules(self.rules.clone())),
         };
         VersionedObject { version, key: key.clone(), object }
     }
@@ -200,12 +201,12 @@
             let object = self.object(*version, key);
             size += object.size();
             if size > max_bytes && !objects.is_empty() {
-                let upto = objects.last().map_or(since, |object: &VersionedObject| object.version);
-                return Chunk { objects, upto, version: self.version, restart };
+                let up_to = objects.last().map_or(since, |object: &VersionedObject| object.version);
+                return Chunk { objects, up_to, version: self.version, restart };
             }
             objects.push(object);
         }
-        Chunk { objects, upto: self.version, version: self.version, restart }
+        Chunk { objects, up_to: self.version, version: self.version, restart }
     }
 
     /// How many tombstones are kept.
@@ -242,7 +243,7 @@
 pub struct Transfer {
     objects: Vec<VersionedObject>,
     /// Everything up to this version is gathered.
-    upto: u64,
+    up_to: u64,
     /// The version of the head that served the first chunk.
     first_version: u64,
     /// The highest version that any upstream had.
@@ -254,7 +255,7 @@
 impl Transfer {
     /// What to request next: `since` and `first_version` of [`View::chunk`].
     pub fn next_request(&self, view: &View) -> (u64, u64) {
-        if self.first_version > 0 { (self.upto, self.first_version) } else { (view.version, 0) }
+        if self.first_version > 0 { (self.up_to, self.first_version) } else { (view.version, 0) }
     }
 
     /// Accepts a chunk received in answer to [`next_request`](Transfer::next_request). Returns whether the view has
@@ -276,11 +277,11 @@
             *self = Transfer { restart: true, ..Transfer::default() };
         }
         if self.first_version == 0 {
-            (self.first_version, self.upto) = (chunk.version.max(1), view.version);
+            (self.first_version, self.up_to) = (chunk.version.max(1), view.version);
         }
-        (self.upto, self.newest_version) = (chunk.upto, chunk.version);
+        (self.up_to, self.newest_version) = (chunk.up_to, chunk.version);
         self.objects.extend(chunk.objects);
-        if self.upto < chunk.version {
+        if self.up_to < chunk.version {
             return Ok(false);
         }
         let Transfer { objects, restart, first_version, .. } = std::mem::take(self);
--- a/crates/replication/src/watermark.rs
+++ b/crates/replication/src/watermark.rs
@@ -15,20 +15,23 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Watermark {
     /// The term of its vote.
-    pub vote: u64,
+    pub vote_term: u64,
     /// Its last entry: term and index. Compared in this order, as a new leader may shorten a log.
-    pub last: (u64, u64),
+    pub last_entry: (u64, u64),
 }
 
 impl Watermark {
     /// Whether a store at this watermark may have forgotten something of the other.
     fn is_behind(self, other: Watermark) -> bool {
-        self.vote < other.vote || self.last < other.last
+        self.vote_term < other.vote_term || self.last_entry < other.last_entry
     }
 
     /// The highest of both, field by field.
     fn max(self, other: Watermark) -> Watermark {
-        Watermark { vote: self.vote.max(other.vote), last: self.last.max(other.last) }
+        Watermark {
+            vote_term: self.vote_term.max(other.vote_term),
+            last_entry: self.last_entry.max(other.last_entry),
+        }
     }
 }
 
--- a/crates/replication/tests/follow.rs
+++ b/crates/replication/tests/follow.rs
@@ -5,16 +5,16 @@
     MAX_UPDATE_AGE_MS, Peer, PollingFollower, Rejection, UpstreamPoll, Voters,
 };
 use sedgerun_replication::relay::FollowerRole;
-use sedgerun_replication::subscribe::{Redirect, Route, SubscribeReply, Summary, Update};
-use sedgerun_replication::view::{Key, Object, VersionedObject, View};
+use sedgerun_replication::subscribe::{Redirect, Route, SubscribeResponse, SubtreeSummary, Update};
+use sedgerun_replication::view::{Object, ObjectKey, VersionedObject, View};
 
 fn peer(head: &str) -> Peer {
     Peer { head: head.into(), address: format!("{head}:1") }
 }
 
-fn update(view: &View, since: u64, path: &[&str], age: u64) -> SubscribeReply {
+fn update(view: &View, since: u64, path: &[&str], age: u64) -> SubscribeResponse {
     let path = path.iter().map(|head| (*head).to_owned()).collect();
-    SubscribeReply::Update(Update {
+    SubscribeResponse::Update(Update {
         version: view.version,
         age,
         chunk: Some(view.chunk(since, 0, 1 << 20)),
@@ -25,7 +25,7 @@
 
 fn banned(version: u64) -> View {
     let mut view = View::default();
-    view.put(VersionedObject { version, key: Key::Backend("b".into()), object: Some(Object::Ban) });
+    view.put(VersionedObject { version, key: ObjectKey::Backend("b".into()), object: Some(Object::Ban) });
     view
 }
 
@@ -33,14 +33,14 @@
 fn polled(follower: &mut Follower, now: &mut u64, view: &View) -> UpstreamPoll {
     loop {
         match follower.next_step(*now, view, false) {
-            FollowerStep::Wait(until) => *now = until.max(*now + 1),
+            FollowerStep::WaitUntil(until) => *now = until.max(*now + 1),
             FollowerStep::Poll(poll) => return poll,
         }
     }
 }
 
 fn polling(downstream: Downstream, subtree: Option<Vec<Downstream>>) -> PollingFollower {
-    let summary = subtree.map(Summary::of_list);
+    let summary = subtree.map(SubtreeSummary::from_followers);
     PollingFollower { downstream, role: FollowerRole::Head, bypass_relays: false, summary }
 }
 
@@ -51,35 +51,43 @@
     let mut now = 1000;
     let poll = polled(&mut follower, &mut now, &view);
     assert_eq!((now, poll.peer, poll.since, poll.first_version), (1000, peer("k1"), 0, 0));
-    assert_eq!(follower.on_reply(1000, &mut view, update(&banned(3), 0, &["k1"], 10)), Ok(true));
+    assert_eq!(follower.on_response(1000, &mut view, update(&banned(3), 0, &["k1"], 10)), Ok(true));
     assert_eq!((view.version, follower.age(1050)), (3, Some(60)));
     assert_eq!(follower.path(), ["k1", "f1"]);
     assert!(matches!(follower.next_step(1060, &view, false), FollowerStep::Poll(_)));
-    let ring = follower.on_reply(1060, &mut view, update(&banned(9), 0, &["k1", "f1", "f2"], 10));
-    assert_eq!(ring, Err(Rejection::Ring));
+    let ring = follower.on_response(1060, &mut view, update(&banned(9), 0, &["k1", "f1", "f2"], 10));
+    assert_eq!(ring, Err(Rejection::Cycle));
     assert!(
-        matches!(follower.next_step(1060, &view, false), FollowerStep::Wait(_)),
+        matches!(follower.next_step(1060, &view, false), FollowerStep::WaitUntil(_)),
         "it tries again at once"
     );
     now = 1070;
     polled(&mut follower, &mut now, &view);
-    assert_eq!(follower.on_reply(now, &mut view, update(&banned(2), 0, &["k2"], 10)), Err(Rejection::Behind));
+    assert_eq!(
+        follower.on_response(now, &mut view, update(&banned(2), 0, &["k2"], 10)),
+        Err(Rejection::Behind)
+    );
     polled(&mut follower, &mut now, &view);
     let old = update(&View::default(), 0, &["f7"], MAX_UPDATE_AGE_MS + 1);
-    assert_eq!(follower.on_reply(now, &mut view, old), Err(Rejection::Stale));
+    assert_eq!(follower.on_response(now, &mut view, old), Err(Rejection::Stale));
     assert_eq!(view.version, 3);
     // News is news, however old: it is taken, and another upstream looked for.
     polled(&mut follower, &mut now, &view);
     let old_news = update(&banned(4), 3, &["f7"], MAX_UPDATE_AGE_MS + 1);
-    assert_eq!(follower.on_reply(now, &mut view, old_news), Err(Rejection::Stale));
+    assert_eq!(follower.on_response(now, &mut view, old_news), Err(Rejection::Stale));
     assert_eq!((view.version, follower.age(now)), (4, Some(now - 990)));
 }
 
 #[test]
 fn a_full_head_redirects_to_its_followers() {
     let mut followers = Followers::default();
-    let downstream =
-        |i: u64| Downstream { at: peer(&format!("f{i}")), store: i, zone: None, version: 0, incarnation: 1 };
+    let downstream = |i: u64| Downstream {
+        peer: peer(&format!("f{i}")),
+        store: i,
+        zone: None,
+        version: 0,
+        incarnation: 1,
+    };
     for i in 0..MAX_FOLLOWERS as u64 {
         assert_eq!(followers.admit(0, polling(downstream(i), None), false), Admission::Admitted);
     }
@@ -93,9 +101,9 @@
     let mut now = 1;
     polled(&mut follower, &mut now, &view);
     let redirect = Redirect { directory: None, peers: followers.peers() };
-    let rejected = follower.on_reply(now, &mut view, SubscribeReply::Redirect(redirect));
+    let rejected = follower.on_response(now, &mut view, SubscribeResponse::Redirect(redirect));
     assert_eq!(rejected, Err(Rejection::Redirected));
-    let FollowerStep::Wait(mut due) = follower.next_step(now, &view, false) else { panic!("at once") };
+    let FollowerStep::WaitUntil(mut due) = follower.next_step(now, &view, false) else { panic!("at once") };
     let poll = polled(&mut follower, &mut due, &view);
     assert!(poll.peer.head.starts_with('f') && (poll.since, poll.first_version) == (0, 0));
     let late = FOLLOWER_TIMEOUT_MS + 1;
--- a/crates/replication/tests/frozen_formats.rs
+++ b/crates/replication/tests/frozen_formats.rs
@@ -10,17 +10,17 @@
 
 use recorded::{Section, assert_sections};
 use sedgerun_replication::digest::digest_of;
-use sedgerun_replication::follow::UpdateReply;
-use sedgerun_replication::greeting::{Greeting, Refusal, origin};
+use sedgerun_replication::follow::LegacyUpdateResponse;
+use sedgerun_replication::greeting::{Greeting, HandshakeError, cluster_origin};
 use sedgerun_replication::peer::{Downstream, Peer, Voters};
 use sedgerun_replication::record::{self, FORMAT_VERSION, HEADER_BYTES, RecordType};
-use sedgerun_replication::relay::{Directory, FollowerRole, Relay, RelayStatus};
+use sedgerun_replication::relay::{FollowerRole, Relay, RelayDirectory, RelayStatus};
 use sedgerun_replication::state::{Change, ChangeOutcome, Command, ReplicatedState};
 use sedgerun_replication::subscribe::{
-    CachedDigests, Redirect, Route, SubscribeReply, Subscription, Summary, Update,
+    CachedDigests, Redirect, Route, SubscribeResponse, Subscription, SubtreeSummary, Update,
 };
 use sedgerun_replication::view::{
-    Chunk, Fields, Key, Object, Rules, Tenant, Transfer, VersionedObject, View,
+    Chunk, ExportFields, Object, ObjectKey, Tenant, Transfer, VersionedObject, View, VoterRules,
 };
 use sedgerun_replication::watermark::{Incarnation, Watermark, Watermarks};
 use serde::Serialize;
@@ -56,9 +56,9 @@
 where
     T: Serialize + DeserializeOwned + PartialEq + Debug,
 {
-    let written = record::seal(record_type, value).expect("a record");
+    let written = record::encode(record_type, value).expect("a record");
     if let Some(recorded) = section.compare(name, &written) {
-        assert_eq!(record::open::<T>(record_type, &recorded).as_ref(), Ok(value), "{name}");
+        assert_eq!(record::decode::<T>(record_type, &recorded).as_ref(), Ok(value), "{name}");
     }
 }
 
@@ -67,17 +67,17 @@
     section.compare(name, &number.to_be_bytes());
 }
 
-fn fields(volume: &str) -> Fields {
+fn fields(volume: &str) -> ExportFields {
     let pairs = [("largeClass", "bulk"), ("plan", "even"), ("shard", "3"), ("volume", volume)];
     pairs.iter().map(|(key, value)| ((*key).to_owned(), (*value).to_owned())).collect()
 }
 
-fn exports() -> BTreeMap<String, Fields> {
+fn exports() -> BTreeMap<String, ExportFields> {
     BTreeMap::from([("press".to_owned(), fields("b1")), ("proofs".to_owned(), fields("b2"))])
 }
 
-fn rules() -> Rules {
-    Rules {
+fn rules() -> VoterRules {
+    VoterRules {
         voters: 5,
         dead_after_ms: 90_000,
         barred_heads: BTreeSet::from(["n7".to_owned(), "n8".to_owned()]),
@@ -89,18 +89,18 @@
     vec![
         VersionedObject {
             version: 300,
-            key: Key::Tenant("horvat".into()),
+            key: ObjectKey::Tenant("horvat".into()),
             object: Some(Object::Tenant(exports())),
         },
-        VersionedObject { version: 301, key: Key::Backend("s-7".into()), object: Some(Object::Ban) },
-        VersionedObject { version: 302, key: Key::Rules, object: Some(Object::Rules(rules())) },
-        VersionedObject { version: 303, key: Key::Tenant("gone".into()), object: None },
-        VersionedObject { version: 304, key: Key::Backend("s-8".into()), object: None },
+        VersionedObject { version: 301, key: ObjectKey::Backend("s-7".into()), object: Some(Object::Ban) },
+        VersionedObject { version: 302, key: ObjectKey::Rules, object: Some(Object::Rules(rules())) },
+        VersionedObject { version: 303, key: ObjectKey::Tenant("gone".into()), object: None },
+        VersionedObject { version: 304, key: ObjectKey::Backend("s-8".into()), object: None },
     ]
 }
 
 fn chunk() -> Chunk {
-    Chunk { objects: objects(), upto: 304, version: 70_000, restart: true }
+    Chunk { objects: objects(), up_to: 304, version: 70_000, restart: true }
 }
 
 /// What a follower holds that has begun anew, so that every field of the view is filled.
@@ -112,7 +112,7 @@
 }
 
 fn change(key: &str, expect: Option<u64>, command: Command) -> Change {
-    Change { key: key.into(), expect, command }
+    Change { key: key.into(), expected_version: expect, command }
 }
 
 fn put_export() -> Command {
@@ -124,7 +124,7 @@
 }
 
 fn downstream() -> Downstream {
-    Downstream { at: peer("n4"), store: STORE, zone: Some("a".into()), version: 70_000, incarnation: 300 }
+    Downstream { peer: peer("n4"), store: STORE, zone: Some("a".into()), version: 70_000, incarnation: 300 }
 }
 
 fn voters() -> Voters {
@@ -133,14 +133,14 @@
 
 fn greeting() -> Greeting {
     Greeting {
-        fleet: "rig".into(),
+        cluster: "rig".into(),
         secret: "known to the rig alone".into(),
         head: "n0".into(),
         store: Some(STORE),
         zone: Some("a".into()),
         address: "192.0.2.17:4410".into(),
         incarnation: Incarnation { count: 300, nonce: OTHER_STORE },
-        initial_watermark: Watermark { vote: 17, last: (16, 90_000) },
+        initial_watermark: Watermark { vote_term: 17, last_entry: (16, 90_000) },
         origin: Some(OTHER_STORE),
     }
 }
@@ -155,8 +155,8 @@
     }
 }
 
-fn directory() -> Directory {
-    Directory::new([relay("r1"), relay("r0")])
+fn directory() -> RelayDirectory {
+    RelayDirectory::new([relay("r1"), relay("r0")])
 }
 
 fn route() -> Route {
@@ -168,8 +168,8 @@
     }
 }
 
-fn summary() -> Summary {
-    Summary { heads: 1000, lowest_version: 69_999, sample: vec![downstream()] }
+fn summary() -> SubtreeSummary {
+    SubtreeSummary { heads: 1000, lowest_version: 69_999, sample: vec![downstream()] }
 }
 
 fn update() -> Update {
@@ -217,7 +217,7 @@
     );
     lines.close();
     let mut lines = section("outcome");
-    check(&mut lines, "done", &ChangeOutcome::Done { version: 70_000, fresh: true });
+    check(&mut lines, "done", &ChangeOutcome::Done { version: 70_000, created: true });
     check(&mut lines, "missing", &ChangeOutcome::Missing("no tenant horvat".into()));
     check(&mut lines, "conflict", &ChangeOutcome::Conflict("there is an export press already".into()));
     check(&mut lines, "stale", &ChangeOutcome::Stale(69_999));
@@ -230,9 +230,9 @@
     let mut lines = section("view");
     check(&mut lines, "tenant", &Tenant { version: 300, exports: exports() });
     check(&mut lines, "rules", &rules());
-    check(&mut lines, "key_tenant", &Key::Tenant("horvat".into()));
-    check(&mut lines, "key_backend", &Key::Backend("s-7".into()));
-    check(&mut lines, "key_rules", &Key::Rules);
+    check(&mut lines, "key_tenant", &ObjectKey::Tenant("horvat".into()));
+    check(&mut lines, "key_backend", &ObjectKey::Backend("s-7".into()));
+    check(&mut lines, "key_rules", &ObjectKey::Rules);
     check(&mut lines, "object_tenant", &Object::Tenant(exports()));
     check(&mut lines, "object_ban", &Object::Ban);
     check(&mut lines, "object_rules", &Object::Rules(rules()));
@@ -263,7 +263,7 @@
     }
     let mut lines = section("state");
     check(&mut lines, "filled", &state);
-    check(&mut lines, "of_a_view", &ReplicatedState::of(view()));
+    check(&mut lines, "of_a_view", &ReplicatedState::from_view(view()));
     check(&mut lines, "empty", &ReplicatedState::default());
     lines.close();
 }
@@ -274,23 +274,27 @@
     let of_command_line = Greeting { store: None, zone: None, origin: None, ..greeting() };
     check(&mut lines, "of_head", &greeting());
     check(&mut lines, "of_command_line", &of_command_line);
-    check(&mut lines, "answer", &Ok::<Greeting, Refusal>(greeting()));
+    check(&mut lines, "answer", &Ok::<Greeting, HandshakeError>(greeting()));
     let refusals = [
-        ("fleet", Refusal::Fleet),
-        ("secret", Refusal::Secret),
-        ("origin", Refusal::Origin),
-        ("name", Refusal::Name),
-        ("rolled_back", Refusal::RolledBack),
+        ("fleet", HandshakeError::OtherCluster),
+        ("secret", HandshakeError::WrongSecret),
+        ("origin", HandshakeError::OtherOrigin),
+        ("name", HandshakeError::DuplicateName),
+        ("rolled_back", HandshakeError::RolledBack),
     ];
     for (name, refusal) in refusals {
         check(&mut lines, &format!("refusal_{name}"), &refusal);
-        check(&mut lines, &format!("answer_refused_{name}"), &Err::<Greeting, Refusal>(refusal));
+        check(&mut lines, &format!("answer_refused_{name}"), &Err::<Greeting, HandshakeError>(refusal));
     }
     check(&mut lines, "incarnation", &Incarnation { count: 300, nonce: OTHER_STORE });
-    check(&mut lines, "watermark", &Watermark { vote: 17, last: (16, 90_000) });
+    check(&mut lines, "watermark", &Watermark { vote_term: 17, last_entry: (16, 90_000) });
     let mut watermarks = Watermarks::default();
     watermarks.observe(STORE, greeting().incarnation, greeting().initial_watermark);
-    watermarks.observe(OTHER_STORE, Incarnation { count: 1, nonce: 2 }, Watermark { vote: 3, last: (4, 5) });
+    watermarks.observe(
+        OTHER_STORE,
+        Incarnation { count: 1, nonce: 2 },
+        Watermark { vote_term: 3, last_entry: (4, 5) },
+    );
     check(&mut lines, "watermarks", &watermarks);
     lines.close();
 }
@@ -326,7 +330,7 @@
         version: 70_000,
         since: 70_001,
         first_version: 70_002,
-        wait: 3000,
+        poll_timeout: 3000,
         cached: CachedDigests { route: 0x89ab_cdef, directory: 0x0123_4567 },
         bypass_relays: true,
         summary: Some(summary()),
@@ -343,21 +347,21 @@
     check(&mut lines, "update", &update());
     check(&mut lines, "update_unchanged", &Update { chunk: None, route: None, directory: None, ..update() });
     check(&mut lines, "redirect", &redirect());
-    check(&mut lines, "reply_update", &SubscribeReply::Update(update()));
-    check(&mut lines, "reply_redirect", &SubscribeReply::Redirect(redirect()));
-    check(&mut lines, "reply_retry_after", &SubscribeReply::RetryAfter(400));
+    check(&mut lines, "reply_update", &SubscribeResponse::Update(update()));
+    check(&mut lines, "reply_redirect", &SubscribeResponse::Redirect(redirect()));
+    check(&mut lines, "reply_retry_after", &SubscribeResponse::RetryAfter(400));
     let Route { path, leader, voters, .. } = route();
     check(
         &mut lines,
         "legacy_chunk",
-        &UpdateReply::Chunk { chunk: chunk(), path, age: 1500, leader, voters },
+        &LegacyUpdateResponse::Chunk { chunk: chunk(), path, age: 1500, leader, voters },
     );
-    check(&mut lines, "legacy_full", &UpdateReply::Full { redirect: redirect().peers });
+    check(&mut lines, "legacy_full", &LegacyUpdateResponse::Full { redirect: redirect().peers });
     // Compared between heads: one that computed another would be sent the whole again with each poll.
     check_number(&mut lines, "digest_of_route", u64::from(digest_of(&route())));
     check_number(&mut lines, "digest_of_directory", u64::from(directory().digest()));
-    check_number(&mut lines, "digest_of_empty_directory", u64::from(Directory::default().digest()));
-    check_number(&mut lines, "origin", origin([OTHER_STORE, STORE]));
+    check_number(&mut lines, "digest_of_empty_directory", u64::from(RelayDirectory::default().digest()));
+    check_number(&mut lines, "origin", cluster_origin([OTHER_STORE, STORE]));
     lines.close();
 }
 
@@ -369,11 +373,11 @@
         ("vote", RecordType::Vote),
         ("entry", RecordType::Entry),
         ("position", RecordType::Position),
-        ("snapshot_head", RecordType::SnapshotHead),
+        ("snapshot_head", RecordType::SnapshotMetadata),
         ("snapshot", RecordType::Snapshot),
         ("greeting", RecordType::Greeting),
         ("call", RecordType::Call),
-        ("reply", RecordType::Reply),
+        ("reply", RecordType::Response),
         ("watermarks", RecordType::Watermarks),
         ("view", RecordType::View),
         ("backup", RecordType::Backup),
@@ -381,8 +385,13 @@
     for (name, record_type) in types {
         check_record(&mut lines, name, record_type, &("a body".to_owned(), Some(STORE)));
     }
-    check_record(&mut lines, "greeting_answer", RecordType::Greeting, &Ok::<Greeting, Refusal>(greeting()));
-    check_record(&mut lines, "snapshot_state", RecordType::Snapshot, &ReplicatedState::of(view()));
+    check_record(
+        &mut lines,
+        "greeting_answer",
+        RecordType::Greeting,
+        &Ok::<Greeting, HandshakeError>(greeting()),
+    );
+    check_record(&mut lines, "snapshot_state", RecordType::Snapshot, &ReplicatedState::from_view(view()));
     check_record(&mut lines, "followed_view", RecordType::View, &view());
     lines.close();
     assert_eq!((FORMAT_VERSION, HEADER_BYTES), (2, 6));
--- a/crates/replication/tests/model.rs
+++ b/crates/replication/tests/model.rs
@@ -7,7 +7,7 @@
 //! guard taken out ("injected") gives an order that does.
 
 use sedgerun_replication::repair::{self, GroupMember, RepairStep, VoterCandidate};
-use sedgerun_replication::view::Rules;
+use sedgerun_replication::view::VoterRules;
 use sedgerun_replication::watermark::{Incarnation, Watermark, Watermarks};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::collections::BTreeSet;
@@ -30,7 +30,7 @@
 
     fn watermark(&self) -> Watermark {
         let last = self.log.last().map_or((0, 0), |(term, _)| (*term, self.log.len() as u64));
-        Watermark { vote: self.vote, last }
+        Watermark { vote_term: self.vote, last_entry: last }
     }
 }
 
@@ -142,9 +142,9 @@
         let of = |store: u64| state.machines.iter().find(|machine| machine.disk.store == store);
         let head = |store: u64| format!("h{}", store % 10);
         let member = |store: u64, votes: bool| {
-            let silent_ms =
+            let ms_since_response =
                 if of(store).is_some_and(Machine::acts) { 0 } else { repair::UNREACHABLE_AFTER_MS };
-            GroupMember { store, head: head(store), zone: None, votes, silent_ms, lag: Some(0) }
+            GroupMember { store, head: head(store), zone: None, votes, ms_since_response, lag: Some(0) }
         };
         let mut voters: Vec<GroupMember> = state.voters.iter().map(|store| member(*store, true)).collect();
         let new = |machine: &&Machine| machine.acts() && !state.voters.contains(&machine.disk.store);
@@ -153,11 +153,11 @@
             VoterCandidate { store, head: head(store), address: String::new(), zone: None }
         });
         let candidates: Vec<VoterCandidate> = candidates.collect();
-        let step = repair::next_step(&Rules::default(), &voters, &candidates, own.store);
+        let step = repair::next_step(&VoterRules::default(), &voters, &candidates, own.store);
         let Some(RepairStep::AddLearner(candidate)) = step else { return None };
         // Brought up to date and then let in: one step here, as nobody counts a newcomer in between.
         voters.push(member(candidate.store, false));
-        let step = repair::next_step(&Rules::default(), &voters, &[], own.store);
+        let step = repair::next_step(&VoterRules::default(), &voters, &[], own.store);
         let Some(RepairStep::Replace(out, into)) = step else { return None };
         let mut next = state.clone();
         let i = next.machines.iter().position(|machine| machine.disk.store == into)?;
@@ -242,8 +242,8 @@
                 let term = before.machines[i].disk.vote + 1;
                 let (candidate, voter) = (&before.machines[i], &before.machines[j]);
                 let votes = voter.acts() && before.voters.contains(&voter.disk.store);
-                let behind =
-                    voter.disk.vote >= term || voter.disk.watermark().last > candidate.disk.watermark().last;
+                let behind = voter.disk.vote >= term
+                    || voter.disk.watermark().last_entry > candidate.disk.watermark().last_entry;
                 if !votes || behind || term > MAX_TERM {
                     return None;
                 }
--- a/crates/replication/tests/record.rs
+++ b/crates/replication/tests/record.rs
@@ -1,7 +1,7 @@
 //! Records: altered, truncated, of another type or format.
 
 use proptest::prelude::*;
-use sedgerun_replication::record::{CorruptRecord, FORMAT_VERSION, HEADER_BYTES, RecordType, open, seal};
+use sedgerun_replication::record::{CorruptRecord, FORMAT_VERSION, HEADER_BYTES, RecordType, decode, encode};
 
 /// The checksum of a record, as the format has it.
 fn checksum(record_type: u8, format: u8, body: &[u8]) -> u32 {
@@ -14,24 +14,24 @@
 proptest! {
     #[test]
     fn a_record_with_any_bit_turned_is_refused(text in ".{0,60}", bit in any::<prop::sample::Index>()) {
-        let record = seal(RecordType::Entry, &text).expect("a record");
-        prop_assert_eq!(open::<String>(RecordType::Entry, &record), Ok(text));
+        let record = encode(RecordType::Entry, &text).expect("a record");
+        prop_assert_eq!(decode::<String>(RecordType::Entry, &record), Ok(text));
         let (mut turned, bit) = (record.clone(), bit.index(record.len() * 8));
         turned[bit / 8] ^= 1 << (bit % 8);
-        prop_assert!(open::<String>(RecordType::Entry, &turned).is_err());
-        prop_assert!(open::<String>(RecordType::Entry, &record[..record.len() - 1]).is_err());
+        prop_assert!(decode::<String>(RecordType::Entry, &turned).is_err());
+        prop_assert!(decode::<String>(RecordType::Entry, &record[..record.len() - 1]).is_err());
     }
 }
 
 #[test]
 fn a_record_of_another_kind_or_format_is_refused_by_name() {
-    let some = seal(RecordType::Position, &Some((1u8, 7u8))).expect("a record");
-    assert_eq!(open::<(u8, u8)>(RecordType::Position, &some), Err(CorruptRecord::Body));
-    let record = seal(RecordType::Vote, &7u64).expect("a record");
-    assert_eq!(open::<u64>(RecordType::Entry, &record), Err(CorruptRecord::RecordType(2)));
+    let some = encode(RecordType::Position, &Some((1u8, 7u8))).expect("a record");
+    assert_eq!(decode::<(u8, u8)>(RecordType::Position, &some), Err(CorruptRecord::Body));
+    let record = encode(RecordType::Vote, &7u64).expect("a record");
+    assert_eq!(decode::<u64>(RecordType::Entry, &record), Err(CorruptRecord::RecordType(2)));
     let mut newer = record;
     newer[1] = FORMAT_VERSION + 1;
     let sum = checksum(newer[0], newer[1], &newer[HEADER_BYTES..]);
     newer[2..HEADER_BYTES].copy_from_slice(&sum.to_le_bytes());
-    assert_eq!(open::<u64>(RecordType::Vote, &newer), Err(CorruptRecord::Format(FORMAT_VERSION + 1)));
+    assert_eq!(decode::<u64>(RecordType::Vote, &newer), Err(CorruptRecord::Format(FORMAT_VERSION + 1)));
 }
--- a/crates/replication/tests/relay.rs
+++ b/crates/replication/tests/relay.rs
@@ -5,11 +5,11 @@
 use proptest::prelude::*;
 use sedgerun_replication::follow::{Downstream, MAX_UPDATE_AGE_MS, Peer, Voters};
 use sedgerun_replication::relay::{
-    Directory, FollowerRole, LEASE_MS, MAX_RELAYS, RegistrationError, Relay, RelayRegistry, RelayStatus,
+    FollowerRole, LEASE_MS, MAX_RELAYS, RegistrationError, Relay, RelayDirectory, RelayRegistry, RelayStatus,
 };
 use sedgerun_replication::subscribe::{
-    CachedDigests, LegacyPeers, MAX_SAMPLE, Route, SubscribeReply, Subscription, Summary, SummaryReporter,
-    Update,
+    CachedDigests, LegacyPeers, MAX_SAMPLE, Route, SubscribeResponse, Subscription, SubtreeSummary,
+    SummaryReporter, Update,
 };
 use sedgerun_replication::transfer_permits::{MAX_TRANSFERS, TransferPermits};
 use sedgerun_replication::upstream::UpdateSource;
@@ -32,11 +32,17 @@
 fn downstream(number: u64) -> Downstream {
     let head = format!("a-head-with-a-long-name-{number:06}");
     let at = Peer { address: "255.255.255.255:65535".into(), head };
-    Downstream { at, store: u64::MAX - number, zone: Some("zone-17".into()), version: number, incarnation: 3 }
+    Downstream {
+        peer: at,
+        store: u64::MAX - number,
+        zone: Some("zone-17".into()),
+        version: number,
+        incarnation: 3,
+    }
 }
 
 /// How many heads choose each relay first.
-fn first_choices(directory: &Directory, region: &str, heads: usize) -> BTreeMap<String, usize> {
+fn first_choices(directory: &RelayDirectory, region: &str, heads: usize) -> BTreeMap<String, usize> {
     let mut chosen: BTreeMap<String, usize> = BTreeMap::new();
     for head in 0..heads {
         let ranked = directory.ranked(&format!("host-{head}.{region}"), Some(region));
@@ -52,14 +58,14 @@
     for live in [relays.clone(), relays[1..].to_vec()] {
         let in_region = live.iter().filter(|relay| relay.region.as_deref() == Some("r1")).count();
         let heads = 500 * in_region;
-        let chosen = first_choices(&Directory::new(live.clone()), "r1", heads);
+        let chosen = first_choices(&RelayDirectory::new(live.clone()), "r1", heads);
         assert_eq!(chosen.len(), in_region, "{chosen:?}");
         let most = chosen.values().max().copied().unwrap_or(0);
         assert!(most * 10 <= 500 * 13, "{chosen:?}");
         assert!(chosen.keys().all(|name| live.iter().any(|relay| relay.peer.head == *name)));
     }
     // Those that had another relay stay with it.
-    let (before, after) = (Directory::new(relays.clone()), Directory::new(relays[1..].to_vec()));
+    let (before, after) = (RelayDirectory::new(relays.clone()), RelayDirectory::new(relays[1..].to_vec()));
     for head in 0..1000 {
         let head = format!("host-{head}");
         let first = before.ranked(&head, Some("r1"))[0].peer.head.clone();
@@ -104,10 +110,10 @@
     /// Whatever hangs on a head, its poll and the answer to it stay small.
     #[test]
     fn messages_are_bounded_whatever_the_subtree(heads in 0u64..20_000, relays in 0u64..200) {
-        let mut sample = Summary::of_list((0..heads.min(700)).map(downstream).collect());
+        let mut sample = SubtreeSummary::from_followers((0..heads.min(700)).map(downstream).collect());
         sample.heads = heads as u32;
         prop_assert!(sample.sample.len() <= MAX_SAMPLE);
-        let directory = Directory::new((0..relays).map(|i| relay(&format!("relay-{i:04}"), "region-1", i)));
+        let directory = RelayDirectory::new((0..relays).map(|i| relay(&format!("relay-{i:04}"), "region-1", i)));
         prop_assert!(directory.relays().len() <= MAX_RELAYS);
         let route = Route {
             origin: Some(u64::MAX),
@@ -122,7 +128,7 @@
             version: 0,
             since: 0,
             first_version: 0,
-            wait: 3000,
+            poll_timeout: 3000,
             cached: CachedDigests::default(),
             bypass_relays: false,
             summary: Some(sample),
@@ -133,13 +139,13 @@
         let Update { route: Some(route), directory: Some(sent), .. } = &first else {
             return Err(TestCaseError::fail("the first answer has the route and the directory"));
         };
-        prop_assert!(size(postcard::to_stdvec(&SubscribeReply::Update(first.clone()))) < 6000);
+        prop_assert!(size(postcard::to_stdvec(&SubscribeResponse::Update(first.clone()))) < 6000);
         // From then on neither goes with an idle poll or its answer.
         subscription.cached = CachedDigests { route: sedgerun_replication::digest::digest_of(route), directory: sent.digest() };
         subscription.summary = None;
         prop_assert!(size(postcard::to_stdvec(&subscription)) <= 40);
         let idle = source.update(&View::default(), &subscription, 1 << 18);
-        prop_assert!(size(postcard::to_stdvec(&SubscribeReply::Update(idle))) <= 16);
+        prop_assert!(size(postcard::to_stdvec(&SubscribeResponse::Update(idle))) <= 16);
     }
 
     #[test]
@@ -197,22 +203,26 @@
 #[test]
 fn a_summary_is_sent_when_it_changes_and_seldom_otherwise() {
     let mut reporter = SummaryReporter::default();
-    let one = Summary::of_list(vec![downstream(1)]);
-    assert_eq!(reporter.due(0, Summary::default()), None, "a leaf says nothing");
-    assert_eq!(reporter.due(10, one.clone()), Some(one.clone()));
-    assert_eq!(reporter.due(20_000, one.clone()), None);
-    assert_eq!(reporter.due(30_010, one.clone()), Some(one.clone()));
+    let one = SubtreeSummary::from_followers(vec![downstream(1)]);
+    assert_eq!(reporter.next_report(0, SubtreeSummary::default()), None, "a leaf says nothing");
+    assert_eq!(reporter.next_report(10, one.clone()), Some(one.clone()));
+    assert_eq!(reporter.next_report(20_000, one.clone()), None);
+    assert_eq!(reporter.next_report(30_010, one.clone()), Some(one.clone()));
     let mut newer = one.clone();
     (newer.lowest_version, newer.sample[0].version) = (9, 9);
-    assert_eq!(reporter.due(31_500, newer.clone()), None, "another version alone can wait");
-    assert_eq!(reporter.due(35_010, newer.clone()), Some(newer.clone()));
-    let two = Summary::of_list(vec![downstream(1), downstream(2)]);
-    assert_eq!(reporter.due(35_500, two.clone()), None);
-    assert_eq!(reporter.due(36_010, two.clone()), Some(two));
-    assert_eq!(reporter.due(37_010, Summary::default()), Some(Summary::default()), "all have gone");
-    assert_eq!(reporter.due(90_000, Summary::default()), None);
+    assert_eq!(reporter.next_report(31_500, newer.clone()), None, "another version alone can wait");
+    assert_eq!(reporter.next_report(35_010, newer.clone()), Some(newer.clone()));
+    let two = SubtreeSummary::from_followers(vec![downstream(1), downstream(2)]);
+    assert_eq!(reporter.next_report(35_500, two.clone()), None);
+    assert_eq!(reporter.next_report(36_010, two.clone()), Some(two));
+    assert_eq!(
+        reporter.next_report(37_010, SubtreeSummary::default()),
+        Some(SubtreeSummary::default()),
+        "all have gone"
+    );
+    assert_eq!(reporter.next_report(90_000, SubtreeSummary::default()), None);
     reporter.reset();
-    assert_eq!(reporter.due(90_001, one.clone()), Some(one));
+    assert_eq!(reporter.next_report(90_001, one.clone()), Some(one));
 }
 
 #[test]
--- a/crates/replication/tests/repair.rs
+++ b/crates/replication/tests/repair.rs
@@ -5,12 +5,12 @@
     DEFAULT_DEAD_AFTER_MS, GroupMember, RepairStep, UNREACHABLE_AFTER_MS, VoterCandidate, majority, next_step,
 };
 use sedgerun_replication::store::StoreId;
-use sedgerun_replication::view::Rules;
+use sedgerun_replication::view::VoterRules;
 use std::collections::BTreeSet;
 
-fn member(store: StoreId, silent_ms: u64) -> GroupMember {
+fn member(store: StoreId, ms_since_response: u64) -> GroupMember {
     let zone = Some(format!("z{}", store % 3));
-    GroupMember { store, head: format!("h{store}"), zone, votes: true, silent_ms, lag: Some(0) }
+    GroupMember { store, head: format!("h{store}"), zone, votes: true, ms_since_response, lag: Some(0) }
 }
 
 fn candidate(store: StoreId, head: &str, zone: u64) -> VoterCandidate {
@@ -19,11 +19,11 @@
 
 #[test]
 fn a_dead_voter_is_replaced_in_a_zone_that_fits_and_a_late_one_is_not() {
-    let rules = Rules::default();
+    let rules = VoterRules::default();
     let candidates = [candidate(10, "h10", 0), candidate(11, "h11", 1), candidate(12, "h12", 2)];
     let mut members = vec![member(1, 0), member(2, 0), member(3, DEFAULT_DEAD_AFTER_MS - 1)];
     assert_eq!(next_step(&rules, &members, &candidates, 1), None, "it may come back");
-    members[2].silent_ms = DEFAULT_DEAD_AFTER_MS;
+    members[2].ms_since_response = DEFAULT_DEAD_AFTER_MS;
     assert_eq!(
         next_step(&rules, &members, &candidates, 1),
         Some(RepairStep::AddLearner(candidates[0].clone())),
@@ -33,14 +33,14 @@
     assert_eq!(next_step(&rules, &members, &candidates, 1), None, "it is not up to date");
     members[3].lag = Some(3);
     assert_eq!(next_step(&rules, &members, &candidates, 1), Some(RepairStep::Replace(3, 10)));
-    members[3].silent_ms = DEFAULT_DEAD_AFTER_MS;
+    members[3].ms_since_response = DEFAULT_DEAD_AFTER_MS;
     assert_eq!(
         next_step(&rules, &members, &candidates, 1),
         Some(RepairStep::Remove(10)),
         "the newcomer is lost itself"
     );
-    members[3].silent_ms = 0;
-    members[2].silent_ms = 0;
+    members[3].ms_since_response = 0;
+    members[2].ms_since_response = 0;
     assert_eq!(
         next_step(&rules, &members, &candidates, 1),
         Some(RepairStep::Remove(10)),
@@ -53,17 +53,20 @@
     let members = [member(1, 0), member(2, 0), member(3, UNREACHABLE_AFTER_MS)];
     let candidates = [candidate(11, "h11", 0), candidate(12, "h3", 0)];
     assert_eq!(
-        next_step(&Rules::default(), &members, &candidates, 1),
+        next_step(&VoterRules::default(), &members, &candidates, 1),
         Some(RepairStep::AddLearner(candidates[1].clone()))
     );
     assert_eq!(
-        next_step(&Rules::default(), &members, &candidates[..1], 1),
+        next_step(&VoterRules::default(), &members, &candidates[..1], 1),
         None,
         "silent, and no more than that"
     );
     let newcomer = GroupMember { head: "h3".into(), votes: false, ..member(12, 0) };
     let members = [&members[..], &[newcomer]].concat();
-    assert_eq!(next_step(&Rules::default(), &members, &candidates[..1], 1), Some(RepairStep::Replace(3, 12)));
+    assert_eq!(
+        next_step(&VoterRules::default(), &members, &candidates[..1], 1),
+        Some(RepairStep::Replace(3, 12))
+    );
 }
 
 #[test]
@@ -71,7 +74,7 @@
     let members = [member(1, 0), member(2, 0), member(3, 0)];
     let candidates = [candidate(10, "h10", 0)];
     let barred_heads = BTreeSet::from(["h1".to_owned(), "h2".to_owned()]);
-    let rules = Rules { barred_heads, ..Rules::default() };
+    let rules = VoterRules { barred_heads, ..VoterRules::default() };
     assert_eq!(
         next_step(&rules, &members, &candidates, 1),
         Some(RepairStep::AddLearner(candidates[0].clone()))
@@ -79,14 +82,14 @@
     let mut more = members.to_vec();
     more.push(GroupMember { votes: false, ..member(10, 0) });
     assert_eq!(next_step(&rules, &more, &candidates, 1), Some(RepairStep::Replace(2, 10)));
-    let none = Rules { barred_heads: BTreeSet::from(["h10".to_owned()]), ..rules };
+    let none = VoterRules { barred_heads: BTreeSet::from(["h10".to_owned()]), ..rules };
     assert_eq!(next_step(&none, &members, &candidates, 1), None, "nobody may take the place");
-    let more = Rules { voters: 5, ..Rules::default() };
+    let more = VoterRules { voters: 5, ..VoterRules::default() };
     assert_eq!(
         next_step(&more, &members, &candidates, 1),
         Some(RepairStep::AddLearner(candidates[0].clone()))
     );
-    let fewer = Rules { voters: 1, ..Rules::default() };
+    let fewer = VoterRules { voters: 1, ..VoterRules::default() };
     assert!(matches!(next_step(&fewer, &members, &candidates, 1), Some(RepairStep::Remove(2 | 3))));
 }
 
@@ -94,21 +97,21 @@
     /// Whatever the leader sees: a majority of the voters after a step is reachable.
     #[test]
     fn no_step_leaves_a_majority_that_is_not_there(
-        silent_ms in prop::collection::vec(prop_oneof![Just(0u64), Just(UNREACHABLE_AFTER_MS), Just(DEFAULT_DEAD_AFTER_MS)], 2..8),
+        ms_since_response in prop::collection::vec(prop_oneof![Just(0u64), Just(UNREACHABLE_AFTER_MS), Just(DEFAULT_DEAD_AFTER_MS)], 2..8),
         newcomer in prop::option::of((any::<bool>(), 0u64..200)),
         candidate_count in 0u64..3, wanted in 0u8..8, bad in 0u64..8, up in any::<bool>(),
     ) {
-        let mut members: Vec<GroupMember> = (1..).zip(&silent_ms).map(|(s, silent_ms)| member(s, *silent_ms)).collect();
-        members[0].silent_ms = 0;
+        let mut members: Vec<GroupMember> = (1..).zip(&ms_since_response).map(|(s, ms_since_response)| member(s, *ms_since_response)).collect();
+        members[0].ms_since_response = 0;
         if let Some((is_reachable, lag)) = newcomer {
-            let silent_ms = if is_reachable { 0 } else { UNREACHABLE_AFTER_MS };
-            members.push(GroupMember { votes: false, lag: Some(lag), ..member(50, silent_ms) });
+            let ms_since_response = if is_reachable { 0 } else { UNREACHABLE_AFTER_MS };
+            members.push(GroupMember { votes: false, lag: Some(lag), ..member(50, ms_since_response) });
         }
         let candidates: Vec<VoterCandidate> = (0..candidate_count).map(|i| candidate(60 + i, &format!("h{}", 2 + i), i)).collect();
-        let rules = Rules {
+        let rules = VoterRules {
             voters: if up { wanted } else { 0 },
             barred_heads: BTreeSet::from([format!("h{bad}")]),
-            ..Rules::default()
+            ..VoterRules::default()
         };
         let mut after: Vec<GroupMember> = members.clone();
         match next_step(&rules, &members, &candidates, 1) {
@@ -123,7 +126,7 @@
             Some(RepairStep::AddLearner(_)) | None => return Ok(()),
         }
         let voters: Vec<&GroupMember> = after.iter().filter(|member| member.votes).collect();
-        let reachable = voters.iter().filter(|voter| voter.silent_ms < UNREACHABLE_AFTER_MS).count();
+        let reachable = voters.iter().filter(|voter| voter.ms_since_response < UNREACHABLE_AFTER_MS).count();
         prop_assert!(reachable >= majority(voters.len()), "{:?}", after);
     }
 }
--- a/crates/replication/tests/simulator/mod.rs
+++ b/crates/replication/tests/simulator/mod.rs
@@ -1,15 +1,15 @@
 //! A fleet in virtual time: the decisions of all heads, over a network that can be cut by regions.
 
 use sedgerun_replication::follow::{
-    ANSWER_TIMEOUT_MS, Admission, Downstream, Follower, FollowerStep, Followers, MAX_FOLLOWERS, Peer,
-    PollingFollower, UpstreamPoll, Voters,
+    Admission, Downstream, Follower, FollowerStep, Followers, MAX_FOLLOWERS, Peer, PollingFollower,
+    RESPONSE_TIMEOUT_MS, UpstreamPoll, Voters,
 };
 use sedgerun_replication::relay::{
     FollowerRole, REGISTRATION_INTERVAL_MS, RELAY_CAPACITY, Relay, RelayRegistry, RelayStatus,
 };
-use sedgerun_replication::subscribe::{Route, SubscribeReply, Subscription};
+use sedgerun_replication::subscribe::{Route, SubscribeResponse, Subscription};
 use sedgerun_replication::upstream::{UpdateSource, is_up_to_date, redirect};
-use sedgerun_replication::view::{Key, Object, VersionedObject, View};
+use sedgerun_replication::view::{Object, ObjectKey, VersionedObject, View};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 use std::ops::Range;
@@ -194,7 +194,7 @@
             }
             Event::Change => {
                 let version = self.settled.version + 1;
-                let key = Key::Backend(format!("b{}", version % 50));
+                let key = ObjectKey::Backend(format!("b{}", version % 50));
                 self.settled.put(VersionedObject { version, key, object: Some(Object::Ban) });
             }
         }
@@ -284,10 +284,10 @@
         let node = &mut self.nodes[number];
         let serves = node.followers.count(now) > 0;
         match node.follower.next_step(now, &node.view, serves) {
-            FollowerStep::Wait(until) => self.schedule(number, until.max(now + 1), Task::Decide),
+            FollowerStep::WaitUntil(until) => self.schedule(number, until.max(now + 1), Task::Decide),
             FollowerStep::Poll(poll) => {
                 let polled = self.by_name[&poll.peer.head];
-                let wait = poll.wait;
+                let wait = poll.poll_timeout;
                 self.polls.insert(number, poll);
                 if !self.reaches(number, polled) {
                     let after = if self.nodes[polled].is_up { DIAL_TIMEOUT_MS } else { 1 };
@@ -314,7 +314,7 @@
             version: node.view.version,
             since: poll.since,
             first_version: poll.first_version,
-            wait: poll.wait,
+            poll_timeout: poll.poll_timeout,
             cached: node.follower.cached_digests(),
             bypass_relays: poll.bypass_relays,
             summary: None,
@@ -323,10 +323,10 @@
 
     fn answered(&mut self, number: usize, asked_at: usize, polled: usize) {
         let now = self.now;
-        let wait = self.polls[&number].wait;
-        let late = self.nodes[polled].is_slow && SLOW_BY_MS > ANSWER_TIMEOUT_MS;
+        let wait = self.polls[&number].poll_timeout;
+        let late = self.nodes[polled].is_slow && SLOW_BY_MS > RESPONSE_TIMEOUT_MS;
         if !self.reaches(number, polled) || late {
-            let at = (asked_at as u64 + wait + ANSWER_TIMEOUT_MS).max(now);
+            let at = (asked_at as u64 + wait + RESPONSE_TIMEOUT_MS).max(now);
             return self.schedule(number, at, Task::Failed);
         }
         let subscription = self.subscription(number);
@@ -334,7 +334,7 @@
         let node = &mut self.nodes[number];
         let before = node.follower.upstream().cloned();
         match reply {
-            Some(reply) => drop(node.follower.on_reply(now, &mut node.view, reply)),
+            Some(reply) => drop(node.follower.on_response(now, &mut node.view, reply)),
             None => node.follower.on_failure(now),
         }
         let has_moved = node.follower.upstream().cloned() != before;
@@ -343,10 +343,15 @@
     }
 
     /// The answer of a head; `None` where it refuses.
-    fn serve(&mut self, asker: usize, number: usize, subscription: &Subscription) -> Option<SubscribeReply> {
+    fn serve(
+        &mut self,
+        asker: usize,
+        number: usize,
+        subscription: &Subscription,
+    ) -> Option<SubscribeResponse> {
         let now = self.now;
         let downstream = Downstream {
-            at: peer(&self.nodes[asker].name),
+            peer: peer(&self.nodes[asker].name),
             store: asker as u64,
             zone: None,
             version: subscription.version,
@@ -371,13 +376,13 @@
         };
         let redirected = |peers| {
             let redirect = redirect(source.directory.as_ref(), subscription.cached, peers);
-            Some(SubscribeReply::Redirect(redirect))
+            Some(SubscribeResponse::Redirect(redirect))
         };
         match node.followers.admit(now, follower, relays_known) {
             Admission::Admitted => {
                 age?;
                 let view = if is_voter { &settled } else { &node.view };
-                Some(SubscribeReply::Update(source.update(view, subscription, MAX_CHUNK_BYTES)))
+                Some(SubscribeResponse::Update(source.update(view, subscription, MAX_CHUNK_BYTES)))
             }
             Admission::RedirectedToRelays => redirected(Vec::new()),
             Admission::Full => redirected(node.followers.peers()),
@@ -451,7 +456,7 @@
             own.follower
                 .directory()
                 .into_iter()
-                .flat_map(sedgerun_replication::relay::Directory::relays)
+                .flat_map(sedgerun_replication::relay::RelayDirectory::relays)
                 .map(|relay| &relay.peer.head)
                 .collect::<Vec<_>>(),
             self.cut,
--- a/crates/replication/tests/state.rs
+++ b/crates/replication/tests/state.rs
@@ -1,16 +1,20 @@
 //! Changes to the state: repeated, conflicting, restored.
 
-use sedgerun_replication::state::{Change, ChangeOutcome, Command, MAX_ANSWERS, ReplicatedState};
-use sedgerun_replication::view::Fields;
+use sedgerun_replication::state::{Change, ChangeOutcome, Command, MAX_REMEMBERED_OUTCOMES, ReplicatedState};
+use sedgerun_replication::view::ExportFields;
 
 fn put(key: &str, tenant: &str, export: &str, shard: &str, expect: Option<u64>) -> Change {
-    let fields = Fields::from([("shard".to_owned(), shard.to_owned())]);
+    let fields = ExportFields::from([("shard".to_owned(), shard.to_owned())]);
     let (tenant, export) = (tenant.to_owned(), export.to_owned());
-    Change { key: key.into(), expect, command: Command::PutExport { tenant, export, fields } }
+    Change {
+        key: key.into(),
+        expected_version: expect,
+        command: Command::PutExport { tenant, export, fields },
+    }
 }
 
 fn rule(key: &str, command: Command) -> Change {
-    Change { key: key.into(), expect: None, command }
+    Change { key: key.into(), expected_version: None, command }
 }
 
 fn delete(key: &str, tenant: &str) -> Change {
@@ -21,8 +25,8 @@
 fn a_change_that_comes_again_happens_once_and_gets_the_first_answer() {
     let mut state = ReplicatedState::default();
     let first = state.apply(put("k1", "horvat", "press", "3", Some(0)));
-    assert_eq!(first, ChangeOutcome::Done { version: 1, fresh: true });
-    assert_eq!(state.apply(delete("k2", "horvat")), ChangeOutcome::Done { version: 2, fresh: false });
+    assert_eq!(first, ChangeOutcome::Done { version: 1, created: true });
+    assert_eq!(state.apply(delete("k2", "horvat")), ChangeOutcome::Done { version: 2, created: false });
     // Without the key kept, the repeat would bring the deleted tenant back.
     assert_eq!(state.apply(put("k1", "horvat", "press", "3", Some(0))), first);
     assert!(state.view.tenants.is_empty() && state.view.version == 2);
@@ -32,11 +36,16 @@
 #[test]
 fn kept_answers_are_bounded() {
     let mut state = ReplicatedState::default();
-    for i in 0..MAX_ANSWERS + 10 {
+    for i in 0..MAX_REMEMBERED_OUTCOMES + 10 {
         state.apply(put(&format!("k{i}"), "horvat", "press", "3", None));
     }
-    assert_eq!((state.answers().len(), state.answer_order().len()), (MAX_ANSWERS, MAX_ANSWERS));
-    assert!(!state.answers().contains_key("k9") && state.answers().contains_key("k10"));
+    assert_eq!(
+        (state.remembered_outcomes().len(), state.outcome_order().len()),
+        (MAX_REMEMBERED_OUTCOMES, MAX_REMEMBERED_OUTCOMES)
+    );
+    assert!(
+        !state.remembered_outcomes().contains_key("k9") && state.remembered_outcomes().contains_key("k10")
+    );
 }
 
 #[test]
@@ -46,7 +55,7 @@
     assert_eq!(state.apply(put("k2", "horvat", "proofs", "3", Some(0))), ChangeOutcome::Stale(1));
     assert_eq!(
         state.apply(put("k3", "horvat", "proofs", "3", Some(1))),
-        ChangeOutcome::Done { version: 2, fresh: true }
+        ChangeOutcome::Done { version: 2, created: true }
     );
     assert_eq!(state.view.tenants["horvat"].version, 2);
 }
@@ -80,7 +89,7 @@
     let objects = state.view.objects().collect();
     assert_eq!(
         other.apply(rule("r", Command::Restore(objects))),
-        ChangeOutcome::Done { version: 3, fresh: true }
+        ChangeOutcome::Done { version: 3, created: true }
     );
     assert_eq!(other.view.tenants["novak"].exports, state.view.tenants["novak"].exports);
     assert_eq!((other.view.tenants.len(), &other.view.rules), (1, &state.view.rules));
--- a/crates/replication/tests/view.rs
+++ b/crates/replication/tests/view.rs
@@ -1,14 +1,16 @@
 //! Transfers of the state from head to head: chunks, tombstones, restarts.
 
 use proptest::prelude::*;
-use sedgerun_replication::view::{Fields, Key, MAX_TOMBSTONES, Object, Transfer, VersionedObject, View};
+use sedgerun_replication::view::{
+    ExportFields, MAX_TOMBSTONES, Object, ObjectKey, Transfer, VersionedObject, View,
+};
 use std::collections::BTreeMap;
 
 fn tenant(version: u64, name: u8, there: bool) -> VersionedObject {
     let exports =
-        BTreeMap::from([(format!("e{name}"), Fields::from([("shard".into(), version.to_string())]))]);
+        BTreeMap::from([(format!("e{name}"), ExportFields::from([("shard".into(), version.to_string())]))]);
     let object = there.then_some(Object::Tenant(exports));
-    VersionedObject { version, key: Key::Tenant(format!("t{name}")), object }
+    VersionedObject { version, key: ObjectKey::Tenant(format!("t{name}")), object }
 }
 
 proptest! {
@@ -51,7 +53,7 @@
     assert_eq!(transfer.accept(&mut held, upstream.chunk(since, first_version, 1 << 20)), Ok(true));
     upstream.put(tenant(3, 1, false));
     for round in 0..=MAX_TOMBSTONES as u64 {
-        let key = Key::Backend(format!("b{round}"));
+        let key = ObjectKey::Backend(format!("b{round}"));
         upstream.put(VersionedObject { version: 4 + 2 * round, key: key.clone(), object: Some(Object::Ban) });
         upstream.put(VersionedObject { version: 5 + 2 * round, key, object: None });
     }
--- a/crates/replication/tests/watermark.rs
+++ b/crates/replication/tests/watermark.rs
@@ -4,7 +4,7 @@
 
 #[test]
 fn a_store_that_recovers_with_less_than_it_acknowledged_is_an_older_copy() {
-    let mark = |vote, term, index| Watermark { vote, last: (term, index) };
+    let mark = |vote, term, index| Watermark { vote_term: vote, last_entry: (term, index) };
     let incarnation = |count| Incarnation { count, nonce: 100 + count };
     let mut watermarks = Watermarks::default();
     assert!(!watermarks.is_rolled_back(1, incarnation(1), Watermark::default()), "nothing is known of it");
--- a/crates/sedgerun/src/admin/cluster.rs
+++ b/crates/sedgerun/src/admin/cluster.rs
@@ -65,7 +65,7 @@
         outcome: ChangeOutcome,
     ) -> ApiResponse {
         match outcome {
-            ChangeOutcome::Done { version, fresh } => self.committed(method, resource, version, fresh),
+            ChangeOutcome::Done { version, created } => self.committed(method, resource, version, created),
             ChangeOutcome::Missing(what) => ApiResponse::not_found(what),
             ChangeOutcome::Conflict(what) => ApiResponse::error(StatusCode::CONFLICT, what),
             ChangeOutcome::Stale(version) => {
--- a/crates/sedgerun/src/admin/tenants.rs
+++ b/crates/sedgerun/src/admin/tenants.rs
@@ -8,7 +8,7 @@
 use actix_http::{Method, Request, StatusCode};
 use sedgerun_config::Faults;
 use sedgerun_config::platform::flatten;
-use sedgerun_replication::view::Fields;
+use sedgerun_replication::view::ExportFields;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -66,7 +66,8 @@
 
     fn put_tenant(&self, name: &str, body: &[u8]) -> Result<ApiResponse, ApiResponse> {
         let json = serde_json::from_slice::<Value>(body).unwrap_or_default();
-        let exports: Vec<(Fields, Export)> = self.read_exports(name, &json)?.collect::<Result<_, _>>()?;
+        let exports: Vec<(ExportFields, Export)> =
+            self.read_exports(name, &json)?.collect::<Result<_, _>>()?;
         // All of it or nothing: a tenant half changed would serve what nobody requested.
         let mut changed = self.tenants.borrow().clone();
         let is_new = !changed.remove_tenant(name);
@@ -116,7 +117,7 @@
         &'a self,
         tenant: &'a str,
         json: &'a Value,
-    ) -> Result<impl Iterator<Item = Result<(Fields, Export), ApiResponse>>, ApiResponse> {
+    ) -> Result<impl Iterator<Item = Result<(ExportFields, Export), ApiResponse>>, ApiResponse> {
         let exports = json.get("exports").and_then(Value::as_array);
         let exports = exports.ok_or_else(|| ApiResponse::bad_request("exports is missing or is no list"))?;
         Ok(exports.iter().enumerate().map(move |(index, export)| {
@@ -132,7 +133,7 @@
         tenant: &str,
         name: Option<&str>,
         json: &Value,
-    ) -> Result<(Fields, Export), ExportError> {
+    ) -> Result<(ExportFields, Export), ExportError> {
         let mut fields = json.as_object().ok_or(ExportError::NotAnObject)?.clone();
         if let Some(unknown) = fields.keys().find(|key| !Export::KEYS.contains(&key.as_str())) {
             return Err(ExportError::UnknownSetting(unknown.clone()));
--- a/crates/sedgerun/src/replicated_state.rs
+++ b/crates/sedgerun/src/replicated_state.rs
@@ -9,7 +9,7 @@
 use crate::tenants::{DuplicateExport, Export, TenantRegistry};
 use sedgerun_cluster::ClusterHandle;
 use sedgerun_config::{Faults, Pairs};
-use sedgerun_replication::view::{Fields, Tenant, View};
+use sedgerun_replication::view::{ExportFields, Tenant, View};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -124,7 +124,7 @@
     config: &Config,
     tenant: &str,
     export_name: &str,
-    fields: &Fields,
+    fields: &ExportFields,
 ) -> Result<(), ExportNotServed> {
     let export = read_export(config, tenant, export_name, fields)?;
     registry.add(tenant, export)?;
@@ -135,7 +135,12 @@
 ///
 /// # Errors
 /// Every field at fault.
-pub fn read_export(config: &Config, tenant: &str, export: &str, fields: &Fields) -> Result<Export, Faults> {
+pub fn read_export(
+    config: &Config,
+    tenant: &str,
+    export: &str,
+    fields: &ExportFields,
+) -> Result<Export, Faults> {
     let mut pairs = fields.clone();
     pairs.insert("tenant".into(), tenant.to_owned());
     pairs.insert("name".into(), export.to_owned());
--- a/crates/sedgerun/tests/frozen_voter.rs
+++ b/crates/sedgerun/tests/frozen_voter.rs
@@ -109,14 +109,14 @@
     let committed = opened.committed.expect("a settled entry");
     let purged = opened.purged.expect("an entry that the snapshot replaced");
     let sealed = [
-        ("committed", record::seal(RecordType::Position, &committed)),
-        ("identity", record::seal(RecordType::Identity, &opened.identity)),
-        ("memory", record::seal(RecordType::Watermarks, &opened.watermarks)),
-        ("purged", record::seal(RecordType::Position, &purged)),
-        ("snapshot", record::seal(RecordType::SnapshotHead, snapshot)),
-        ("state", record::seal(RecordType::Snapshot, state)),
-        ("view", record::seal(RecordType::View, &opened.followed)),
-        ("vote", record::seal(RecordType::Vote, &opened.vote.expect("a vote"))),
+        ("committed", record::encode(RecordType::Position, &committed)),
+        ("identity", record::encode(RecordType::Identity, &opened.identity)),
+        ("memory", record::encode(RecordType::Watermarks, &opened.watermarks)),
+        ("purged", record::encode(RecordType::Position, &purged)),
+        ("snapshot", record::encode(RecordType::SnapshotMetadata, snapshot)),
+        ("state", record::encode(RecordType::Snapshot, state)),
+        ("view", record::encode(RecordType::View, &opened.followed)),
+        ("vote", record::encode(RecordType::Vote, &opened.vote.expect("a vote"))),
     ];
     sealed.into_iter().map(|(name, record)| (name, record.expect("a record"))).collect()
 }
@@ -141,7 +141,7 @@
     let (mut lines, mut entries) = (Section::open(HELD, "meta"), Section::open(HELD, "log"));
     resealed(&opened).iter().for_each(|(name, bytes)| drop(lines.compare(name, bytes)));
     for (index, entry) in &opened.log {
-        let sealed = record::seal(RecordType::Entry, entry).expect("a record");
+        let sealed = record::encode(RecordType::Entry, entry).expect("a record");
         entries.compare(&index.to_string(), &sealed);
     }
     lines.close();
@@ -171,7 +171,7 @@
     assert!(first <= &covered && covered < settled && settled <= *last, "{first} {covered} {settled} {last}");
     // What it held as a follower is older than what it has applied since.
     assert!(opened.followed.version > 0 && opened.followed.bans.contains_key("s-7"));
-    let mut state: ReplicatedState = record::open(RecordType::Snapshot, state).expect("a state");
+    let mut state: ReplicatedState = record::decode(RecordType::Snapshot, state).expect("a state");
     for (_, entry) in opened.log.range(covered + 1..) {
         if let openraft::EntryPayload::Normal(changes) = &entry.payload {
             for change in changes {
@@ -200,10 +200,10 @@
     drop(disk);
     released(&folder.0);
     let (meta, log) = raw(&folder.0);
-    let sealed = record::seal(RecordType::Identity, &next).expect("a record");
+    let sealed = record::encode(RecordType::Identity, &next).expect("a record");
     assert_eq!(meta["identity"], sealed);
     let (mut lines, mut entries) = (Section::open(HELD, "meta"), Section::open(HELD, "log"));
-    lines.compare("identity", &record::seal(RecordType::Identity, &before).expect("a record"));
+    lines.compare("identity", &record::encode(RecordType::Identity, &before).expect("a record"));
     let others = meta.iter().filter(|(name, _)| *name != "identity");
     others.for_each(|(name, bytes)| drop(lines.compare(name, bytes)));
     log.iter().for_each(|(index, bytes)| drop(entries.compare(&index.to_string(), bytes)));
--- a/crates/sedgerun/tests/old_head/mod.rs
+++ b/crates/sedgerun/tests/old_head/mod.rs
@@ -2,10 +2,10 @@
 //! end the connection over any other.
 
 use sedgerun_cluster::types::{PeerResponse, UpdateRequest};
-use sedgerun_replication::follow::{Downstream, Peer, UpdateReply, Voters};
-use sedgerun_replication::greeting::{Greeting, Refusal};
+use sedgerun_replication::follow::{Downstream, LegacyUpdateResponse, Peer, Voters};
+use sedgerun_replication::greeting::{Greeting, HandshakeError};
 use sedgerun_replication::record::{self, RecordType};
-use sedgerun_replication::view::{Fields, Key, Object, VersionedObject, View};
+use sedgerun_replication::view::{ExportFields, Object, ObjectKey, VersionedObject, View};
 use sedgerun_replication::watermark::{Incarnation, Watermark};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -23,7 +23,7 @@
 const ORIGIN: u64 = 77;
 
 fn send<T: Serialize>(stream: &mut TcpStream, record_type: RecordType, value: &T) -> Option<()> {
-    let record = record::seal(record_type, value).expect("a record");
+    let record = record::encode(record_type, value).expect("a record");
     let mut frame = (record.len() as u32).to_le_bytes().to_vec();
     frame.extend(record);
     stream.write_all(&frame).ok()
@@ -38,12 +38,12 @@
 }
 
 fn receive<T: DeserializeOwned>(stream: &mut TcpStream, record_type: RecordType) -> Option<T> {
-    record::open(record_type, &receive_record(stream)?).ok()
+    record::decode(record_type, &receive_record(stream)?).ok()
 }
 
 fn greeting(fleet: &str, secret: &str, head: &str, store: u64, address: String) -> Greeting {
     Greeting {
-        fleet: fleet.into(),
+        cluster: fleet.into(),
         secret: secret.into(),
         head: head.into(),
         store: Some(store),
@@ -66,16 +66,16 @@
         stream.set_read_timeout(Some(Duration::from_secs(5))).expect("a timeout");
         let own = greeting(fleet, secret, "old", 4242, "127.0.0.1:1".into());
         send(&mut stream, RecordType::Greeting, &own).expect("a greeting");
-        let theirs: Result<Greeting, Refusal> =
+        let theirs: Result<Greeting, HandshakeError> =
             receive(&mut stream, RecordType::Greeting).expect("a greeting");
         theirs.expect("admitted");
         OldFollower { stream }
     }
 
     /// Asks for what comes after a version.
-    pub fn poll(&mut self, since: u64) -> UpdateReply {
+    pub fn poll(&mut self, since: u64) -> LegacyUpdateResponse {
         let follower = Downstream {
-            at: Peer { head: "old".into(), address: "127.0.0.1:1".into() },
+            peer: Peer { head: "old".into(), address: "127.0.0.1:1".into() },
             store: 4242,
             zone: None,
             version: since,
@@ -84,7 +84,7 @@
         let request =
             UpdateRequest { follower, subtree: Some(vec![]), since, first_version: 0, wait_ms: 1000 };
         send(&mut self.stream, RecordType::Call, &(FOLLOW, request)).expect("a call");
-        match receive(&mut self.stream, RecordType::Reply) {
+        match receive(&mut self.stream, RecordType::Response) {
             Some(PeerResponse::Update(_, reply)) => reply,
             other => panic!("{other:?}"),
         }
@@ -134,12 +134,12 @@
             ("writeClass", "write"),
             ("largeClass", "bulk"),
         ];
-        let fields: Fields =
+        let fields: ExportFields =
             fields.iter().map(|(key, value)| ((*key).to_owned(), (*value).to_owned())).collect();
-        let exports: BTreeMap<String, Fields> =
+        let exports: BTreeMap<String, ExportFields> =
             (1..=version).map(|i| (format!("e{i}"), fields.clone())).collect();
         let object = Some(Object::Tenant(exports));
-        held.view.put(VersionedObject { version, key: Key::Tenant("horvat".into()), object });
+        held.view.put(VersionedObject { version, key: ObjectKey::Tenant("horvat".into()), object });
     }
 
     /// Calls that it did not know, and polls.
@@ -151,7 +151,7 @@
 
 fn serve(mut stream: TcpStream, own: &Greeting, held: &Mutex<Held>) -> Option<()> {
     let _theirs: Greeting = receive(&mut stream, RecordType::Greeting)?;
-    let words: Result<Greeting, Refusal> = Ok(own.clone());
+    let words: Result<Greeting, HandshakeError> = Ok(own.clone());
     send(&mut stream, RecordType::Greeting, &words)?;
     loop {
         let call = receive_record(&mut stream)?;
@@ -161,7 +161,7 @@
             held.lock().expect("what it holds").unknown += u64::from(number > 10);
             return None;
         }
-        let (_, request): (u8, UpdateRequest) = record::open(RecordType::Call, &call).ok()?;
+        let (_, request): (u8, UpdateRequest) = record::decode(RecordType::Call, &call).ok()?;
         let chunk = {
             let mut held = held.lock().expect("what it holds");
             held.polls += 1;
@@ -173,7 +173,8 @@
         let leader = Some(Peer { head: own.head.clone(), address: own.address.clone() });
         let by_store = BTreeMap::from([(7, Peer { head: own.head.clone(), address: own.address.clone() })]);
         let voters = Voters { log_index: 1, by_store };
-        let reply = UpdateReply::Chunk { chunk, path: vec![own.head.clone()], age: 0, leader, voters };
-        send(&mut stream, RecordType::Reply, &PeerResponse::Update(Some(ORIGIN), reply))?;
+        let reply =
+            LegacyUpdateResponse::Chunk { chunk, path: vec![own.head.clone()], age: 0, leader, voters };
+        send(&mut stream, RecordType::Response, &PeerResponse::Update(Some(ORIGIN), reply))?;
     }
 }
--- a/crates/sedgerun/tests/relays.rs
+++ b/crates/sedgerun/tests/relays.rs
@@ -6,7 +6,7 @@
 use harness::standin::Program;
 use harness::{CALM, CUT, Harness, call, row, settle};
 use old_head::{OldFollower, OldVoter};
-use sedgerun_replication::follow::UpdateReply;
+use sedgerun_replication::follow::LegacyUpdateResponse;
 use sedgerun_testbed::fault_proxy::{LinkFaults, StreamFault};
 use serde_json::Value;
 use std::ops::Range;
@@ -286,10 +286,10 @@
         harness.until("it holds the version", || (harness.own(at)["version"] == version).then_some(()));
         let to = harness.program(at).fleet.expect("a fleet's listener");
         let mut follower = OldFollower::connect(to, "rig", "known to the rig alone");
-        let UpdateReply::Chunk { chunk, path, age, voters, .. } = follower.poll(0) else {
+        let LegacyUpdateResponse::Chunk { chunk, path, age, voters, .. } = follower.poll(0) else {
             panic!("n{at} does not serve it")
         };
-        assert_eq!((chunk.upto, chunk.version, chunk.objects.len()), (version, version, 1));
+        assert_eq!((chunk.up_to, chunk.version, chunk.objects.len()), (version, version, 1));
         assert_eq!((path.last(), voters.by_store.len()), (Some(&format!("n{at}")), VOTERS));
         assert!(age < 5000);
         // It waits for a change, and gets it.
@@ -300,7 +300,7 @@
             polled.join().expect("an answer")
         });
         assert!(
-            matches!(&change, UpdateReply::Chunk { chunk, .. } if chunk.version == version + 1),
+            matches!(&change, LegacyUpdateResponse::Chunk { chunk, .. } if chunk.version == version + 1),
             "{change:?}"
         );
     }
--- a/crates/testbed/src/cluster_simulator/client.rs
+++ b/crates/testbed/src/cluster_simulator/client.rs
@@ -5,7 +5,7 @@
 use super::seeded_random::SeededRandom;
 use sedgerun_cluster::node::NodeClient;
 use sedgerun_replication::state::{Change, ChangeOutcome, Command};
-use sedgerun_replication::view::Fields;
+use sedgerun_replication::view::ExportFields;
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -56,9 +56,9 @@
     async fn change(&mut self, number: u64, node: NodeClient) {
         let tenant = format!("t{}", self.random.below(TENANTS));
         let export = format!("c{}n{number}", self.number);
-        let fields = Fields::from([("shard".to_owned(), "3".to_owned())]);
+        let fields = ExportFields::from([("shard".to_owned(), "3".to_owned())]);
         let command = Command::PutExport { tenant, export: export.clone(), fields };
-        let change = Change { key: export.clone(), expect: None, command };
+        let change = Change { key: export.clone(), expected_version: None, command };
         let mut node = Some(node);
         for _ in 0..CHANGE_ATTEMPTS {
             let Some(at) = node.take() else { break };
