--- a/crates/cluster/src/change/batch.rs
+++ b/crates/cluster/src/change/batch.rs
@@ -32,7 +32,7 @@
         let (result, committed) = oneshot::channel();
         self.changes.send(PendingChange { change, result }).await.map_err(|_| CommitError::Ended)?;
         let committed = committed.await.map_err(|_| CommitError::Ended)?;
-        crash_point("before the answer to a client");
+        crash_point("before the response to a client");
         committed
     }
 
@@ -43,7 +43,7 @@
         match committed.unwrap_or(Err(CommitError::NoMajority)) {
             Ok(outcome) => PeerResponse::Changed(outcome),
             Err(CommitError::NotLeader(leader)) => PeerResponse::NotLeader(leader),
-            Err(error) => PeerResponse::Refused(error.to_string()),
+            Err(error) => PeerResponse::Rejected(error.to_string()),
         }
     }
 
--- a/crates/cluster/src/change/mod.rs
+++ b/crates/cluster/src/change/mod.rs
@@ -15,7 +15,7 @@
 
 pub use batch::MAX_WAITING_CHANGES;
 
-use crate::change_error::{CommitError, ProposeError, Unsettled};
+use crate::change_error::{AttemptError, ClusterRequestError, CommitError};
 use crate::environment::{EntropyError, random};
 use crate::member::Member;
 use crate::types::{PeerRequest, PeerResponse, VoterAddress};
@@ -48,12 +48,12 @@
     ///
     /// # Errors
     /// It was not committed in time; it may still be.
-    pub async fn change(&self, change: Change) -> Result<ChangeOutcome, Unsettled> {
+    pub async fn change(&self, change: Change) -> Result<ChangeOutcome, ClusterRequestError> {
         if self.links.own().origin.is_none() {
-            return Err(ProposeError::NotInFleet.into());
+            return Err(AttemptError::NotInCluster.into());
         }
         let begun = Instant::now();
-        let mut last_error = ProposeError::NoLeader;
+        let mut last_error = AttemptError::NoLeader;
         let mut redirected_to: Option<Peer> = None;
         while let Some(left) = CHANGE_TIMEOUT.checked_sub(begun.elapsed()).filter(|left| !left.is_zero()) {
             if self.votes() {
@@ -61,7 +61,7 @@
                     Ok(Ok(outcome)) => return Ok(outcome),
                     Ok(Err(CommitError::NotLeader(_))) => {}
                     Ok(Err(error)) => last_error = error.into(),
-                    Err(_) => last_error = ProposeError::NoMajority,
+                    Err(_) => last_error = AttemptError::NoMajority,
                 }
             }
             if let Some(leader) = redirected_to.take().or_else(|| self.leader()) {
@@ -85,16 +85,16 @@
         leader: &Peer,
         change: Change,
         left: Duration,
-    ) -> Result<ChangeOutcome, ProposeError> {
-        let request = PeerRequest::Change(change, left.as_millis() as u64);
+    ) -> Result<ChangeOutcome, AttemptError> {
+        let request = PeerRequest::CommitChange(change, left.as_millis() as u64);
         match self.request_to_leader(leader, &request, left).await? {
             PeerResponse::Changed(outcome) => Ok(outcome),
             PeerResponse::NotLeader(known) => {
                 let known = known.map(|VoterAddress { head, address, .. }| Peer { head, address });
-                Err(ProposeError::NotLeader { head: leader.head.clone(), known })
+                Err(AttemptError::NotLeader { head: leader.head.clone(), known })
             }
-            PeerResponse::Refused(why) => Err(ProposeError::Refused(why)),
-            _ => Err(ProposeError::UnexpectedResponse),
+            PeerResponse::Rejected(why) => Err(AttemptError::Rejected(why)),
+            _ => Err(AttemptError::UnexpectedResponse),
         }
     }
 }
--- a/crates/cluster/src/change/read.rs
+++ b/crates/cluster/src/change/read.rs
@@ -1,7 +1,7 @@
 //! Linearizable reads: a head waits until it has all that was committed when the read began.
 
 use super::{CHANGE_TIMEOUT, RETRY_INTERVAL};
-use crate::change_error::{LinearizableReadError, ProposeError, Unsettled};
+use crate::change_error::{AttemptError, ClusterRequestError, LinearizableReadError};
 use crate::member::Member;
 use crate::types::{PeerRequest, PeerResponse};
 use sedgerun_replication::follow::Peer;
@@ -23,9 +23,9 @@
     ///
     /// # Errors
     /// It did not come that far in time.
-    pub async fn latest(&self) -> Result<u64, Unsettled> {
+    pub async fn wait_for_latest(&self) -> Result<u64, ClusterRequestError> {
         let begun = Instant::now();
-        let mut last_error = ProposeError::NoLeader;
+        let mut last_error = AttemptError::NoLeader;
         while let Some(left) = CHANGE_TIMEOUT.checked_sub(begun.elapsed()).filter(|left| !left.is_zero()) {
             if self.votes() {
                 match self.linearizable_version().await {
@@ -37,7 +37,7 @@
                 match self.latest_version_at(&leader, left).await {
                     Ok(version) => {
                         let left = CHANGE_TIMEOUT.saturating_sub(begun.elapsed());
-                        return self.at_least(version, left).await;
+                        return self.wait_for_version(version, left).await;
                     }
                     Err(error) => last_error = error,
                 }
@@ -47,11 +47,11 @@
         Err(last_error.into())
     }
 
-    async fn latest_version_at(&self, leader: &Peer, left: Duration) -> Result<u64, ProposeError> {
-        match self.request_to_leader(leader, &PeerRequest::Latest, left).await? {
-            PeerResponse::Latest(version) => Ok(version),
-            PeerResponse::Refused(why) => Err(ProposeError::Refused(why)),
-            _ => Err(ProposeError::UnexpectedResponse),
+    async fn latest_version_at(&self, leader: &Peer, left: Duration) -> Result<u64, AttemptError> {
+        match self.request_to_leader(leader, &PeerRequest::LinearizableVersion, left).await? {
+            PeerResponse::LinearizableVersion(version) => Ok(version),
+            PeerResponse::Rejected(why) => Err(AttemptError::Rejected(why)),
+            _ => Err(AttemptError::UnexpectedResponse),
         }
     }
 
@@ -59,13 +59,17 @@
     ///
     /// # Errors
     /// It did not come that far in time.
-    pub async fn at_least(&self, version: u64, timeout: Duration) -> Result<u64, Unsettled> {
-        let mut versions = self.state_machine.version();
+    pub async fn wait_for_version(
+        &self,
+        version: u64,
+        timeout: Duration,
+    ) -> Result<u64, ClusterRequestError> {
+        let mut versions = self.state_machine.watch_version();
         let reached = versions.wait_for(|current| *current >= version);
         if let Ok(Ok(current)) = tokio::time::timeout(timeout, reached).await {
             return Ok(*current);
         }
         let current = self.state_machine.read(|view| view.version);
-        Err(ProposeError::Behind { version: current, wanted: version }.into())
+        Err(AttemptError::Behind { version: current, wanted: version }.into())
     }
 }
--- a/crates/cluster/src/change_error.rs
+++ b/crates/cluster/src/change_error.rs
@@ -11,20 +11,20 @@
 /// Why a change or a read was not completed, in one line for its caller. A change may still be committed.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{0}")]
-pub struct Unsettled(pub String);
+pub struct ClusterRequestError(pub String);
 
-impl From<ProposeError> for Unsettled {
-    fn from(error: ProposeError) -> Unsettled {
-        Unsettled(error.to_string())
+impl From<AttemptError> for ClusterRequestError {
+    fn from(error: AttemptError) -> ClusterRequestError {
+        ClusterRequestError(error.to_string())
     }
 }
 
 /// Why the last attempt at a change or a read failed.
 #[derive(Debug, Error)]
-pub enum ProposeError {
+pub enum AttemptError {
     /// This head has no state of a cluster.
     #[error("this head is in no fleet yet: sedgerun fleet begin")]
-    NotInFleet,
+    NotInCluster,
     /// No leader is known.
     #[error("no leader is known")]
     NoLeader,
@@ -41,7 +41,7 @@
     },
     /// The leader refuses it, for this reason.
     #[error("{0}")]
-    Refused(String),
+    Rejected(String),
     /// The leader's response does not fit the request.
     #[error("the leader answers something else")]
     UnexpectedResponse,
@@ -64,11 +64,11 @@
     },
 }
 
-impl ProposeError {
+impl AttemptError {
     /// The leader to try next, if a head that was taken for the leader named another.
     pub(super) fn other_leader(&self, tried: &Peer) -> Option<Peer> {
         match self {
-            ProposeError::NotLeader { known, .. } => known.clone().filter(|known| known.head != tried.head),
+            AttemptError::NotLeader { known, .. } => known.clone().filter(|known| known.head != tried.head),
             _ => None,
         }
     }
--- a/crates/cluster/src/client/backup.rs
+++ b/crates/cluster/src/client/backup.rs
@@ -1,7 +1,7 @@
 //! Backup of the whole state to a file, and its restoration into a cluster without state.
 
 use super::error::{ClientError, HeadError, HeadErrors};
-use super::{HEAD_TIMEOUT, block_on, links, make};
+use super::{HEAD_TIMEOUT, block_on, links, submit_change};
 use crate::link::Links;
 use crate::settings::Settings;
 use crate::types::{PeerRequest, PeerResponse};
@@ -54,13 +54,13 @@
 /// Restores a backup into a cluster without state.
 ///
 /// # Errors
-/// Why the file cannot be read, or as of [`make`].
+/// Why the file cannot be read, or as of [`submit_change`].
 pub fn restore(settings: &Settings, head: &str, file: &Path) -> Result<String, ClientError> {
     let bytes = std::fs::read(file);
     let bytes = bytes.map_err(|source| ClientError::File { file: file.to_owned(), source })?;
     let backup: Backup = record::open(RecordType::Backup, &bytes)
         .map_err(|source| ClientError::CorruptBackup { file: file.to_owned(), source })?;
-    let version = make(settings, head, Command::Restore(backup.objects))?;
+    let version = submit_change(settings, head, Command::Restore(backup.objects))?;
     Ok(format!(
         "version {} of fleet {} is in this fleet as version {version}\n",
         backup.version, backup.fleet
@@ -69,9 +69,9 @@
 
 /// Downloads the view of the leader, with all that is committed; an error from heads that do not lead.
 async fn download(links: &Links, address: SocketAddr) -> Result<View, HeadError> {
-    let latest = match links.request(address, &PeerRequest::Latest, HEAD_TIMEOUT).await? {
-        PeerResponse::Latest(version) => version,
-        PeerResponse::Refused(why) => return Err(HeadError::Refused(why)),
+    let latest = match links.request(address, &PeerRequest::LinearizableVersion, HEAD_TIMEOUT).await? {
+        PeerResponse::LinearizableVersion(version) => version,
+        PeerResponse::Rejected(why) => return Err(HeadError::Rejected(why)),
         _ => return Err(HeadError::UnexpectedResponse),
     };
     let (mut view, mut transfer) = (View::default(), Transfer::default());
--- a/crates/cluster/src/client/error.rs
+++ b/crates/cluster/src/client/error.rs
@@ -21,7 +21,7 @@
     Entropy(#[from] EntropyError),
     /// The change was rejected, for this reason.
     #[error("{0}")]
-    Rejected(String),
+    ChangeRejected(String),
     /// The change had an outcome that changes of the command line do not have.
     #[error("{0:?}")]
     UnexpectedOutcome(ChangeOutcome),
@@ -69,9 +69,9 @@
         /// Why.
         source: HeadError,
     },
-    /// A head refuses the request, for this reason.
+    /// A head rejects the request, for this reason.
     #[error("{0}")]
-    Refused(String),
+    RequestRejected(String),
 }
 
 /// Why one head did not answer a request.
@@ -83,9 +83,9 @@
     /// The connection failed.
     #[error(transparent)]
     Connection(#[from] io::Error),
-    /// It refuses, for this reason.
+    /// The head rejected the request, for this reason.
     #[error("{0}")]
-    Refused(String),
+    Rejected(String),
     /// Its response does not fit the request.
     #[error("an answer to something else")]
     UnexpectedResponse,
--- a/crates/cluster/src/client/mod.rs
+++ b/crates/cluster/src/client/mod.rs
@@ -35,7 +35,7 @@
 ///
 /// # Errors
 /// Why it was rejected, or what each voter answered.
-pub fn make(settings: &Settings, head: &str, command: Command) -> Result<u64, ClientError> {
+pub fn submit_change(settings: &Settings, head: &str, command: Command) -> Result<u64, ClientError> {
     // One key for all attempts: however many voters are called, it happens once.
     let key = format!("line {:016x}", random()?);
     let change = new_change(Some(&key), None, command)?;
@@ -43,10 +43,10 @@
     block_on(async {
         let mut errors = HeadErrors::default();
         for (name, address) in &settings.voters {
-            let request = PeerRequest::Propose(change.clone());
+            let request = PeerRequest::SubmitChange(change.clone());
             match links.request(*address, &request, HEAD_TIMEOUT).await {
                 Ok(PeerResponse::Changed(outcome)) => return committed_version(outcome),
-                Ok(PeerResponse::Refused(why)) => errors.add(name, HeadError::Refused(why)),
+                Ok(PeerResponse::Rejected(why)) => errors.add(name, HeadError::Rejected(why)),
                 Ok(_) => errors.add(name, HeadError::UnexpectedResponse),
                 Err(error) => errors.add(name, HeadError::Connection(error)),
             }
@@ -58,7 +58,7 @@
 fn committed_version(outcome: ChangeOutcome) -> Result<u64, ClientError> {
     match outcome {
         ChangeOutcome::Done { version, .. } => Ok(version),
-        ChangeOutcome::Missing(why) | ChangeOutcome::Conflict(why) => Err(ClientError::Rejected(why)),
+        ChangeOutcome::Missing(why) | ChangeOutcome::Conflict(why) => Err(ClientError::ChangeRejected(why)),
         other => Err(ClientError::UnexpectedOutcome(other)),
     }
 }
@@ -67,14 +67,14 @@
 /// that was committed.
 ///
 /// # Errors
-/// As of [`make`], or the head does not vote.
-pub fn replace(settings: &Settings, head: &str, dead: &str) -> Result<u64, ClientError> {
+/// As of [`submit_change`], or the head does not vote.
+pub fn replace_voter(settings: &Settings, head: &str, dead: &str) -> Result<u64, ClientError> {
     let report = ClusterReport::collect(settings, head)?;
     let mut statuses = report.answered().map(|report| &report.status);
     let leader = statuses.find(|status| status.role == "leader").ok_or(ClientError::NoLeader)?;
     let voter = leader.voters.iter().find(|voter| voter.votes && voter.head == dead);
     let store = voter.ok_or_else(|| ClientError::NotAVoter(dead.to_owned()))?.store;
-    make(settings, head, Command::DeclareDead(store))
+    submit_change(settings, head, Command::DeclareDead(store))
 }
 
 /// Begins the cluster at this head with the voters of its settings.
@@ -89,7 +89,7 @@
         PeerResponse::Begun => {
             Ok(format!("fleet {} has begun with {} keepers\n", settings.name, settings.voters.len()))
         }
-        PeerResponse::Refused(why) => Err(ClientError::Refused(why)),
+        PeerResponse::Rejected(why) => Err(ClientError::RequestRejected(why)),
         _ => Err(at_head(HeadError::UnexpectedResponse)),
     }
 }
--- a/crates/cluster/src/client/status/mod.rs
+++ b/crates/cluster/src/client/status/mod.rs
@@ -77,7 +77,7 @@
 
     /// Voters that the most recent report names, and that were not called yet.
     fn voters_not_called(&self) -> Vec<VoterStatus> {
-        let newest = self.answered().max_by_key(|report| (report.status.term, report.status.last));
+        let newest = self.answered().max_by_key(|report| (report.status.term, report.status.last_index));
         let known = newest.map(|report| report.status.voters.clone()).unwrap_or_default();
         known.into_iter().filter(|voter| self.0.iter().all(|(name, _)| *name != voter.head)).collect()
     }
@@ -130,7 +130,7 @@
 async fn report_of(links: &Links, address: SocketAddr) -> Result<HeadReport, HeadError> {
     let status = match links.request(address, &PeerRequest::Status, HEAD_TIMEOUT).await? {
         PeerResponse::Status(status) => *status,
-        PeerResponse::Refused(why) => return Err(HeadError::Refused(why)),
+        PeerResponse::Rejected(why) => return Err(HeadError::Rejected(why)),
         _ => return Err(HeadError::UnexpectedResponse),
     };
     let distribution = match links.request(address, &PeerRequest::Distribution, HEAD_TIMEOUT).await {
--- a/crates/cluster/src/client/status/table.rs
+++ b/crates/cluster/src/client/status/table.rs
@@ -51,10 +51,10 @@
         status.term,
         status.version,
         newest_version.saturating_sub(status.version),
-        status.last,
+        status.last_index,
         status.store,
         status.incarnation,
-        status.trouble.as_deref().or(status.leader.as_deref()).unwrap_or("nobody"),
+        status.fault.as_deref().or(status.leader.as_deref()).unwrap_or("nobody"),
     )
 }
 
--- a/crates/cluster/src/election.rs
+++ b/crates/cluster/src/election.rs
@@ -77,9 +77,9 @@
             let Some(to) = self.links.route(&voter.head, &voter.address) else { continue };
             let links = self.links.clone();
             answers.spawn(async move {
-                match links.request(to, &PeerRequest::Silent(last), PRE_VOTE_TIMEOUT).await {
+                match links.request(to, &PeerRequest::PreVote(last), PRE_VOTE_TIMEOUT).await {
                     // Guards against the answer of another store under the voter's address.
-                    Ok(PeerResponse::Silent(from, is_silent)) => from == store && is_silent,
+                    Ok(PeerResponse::PreVote(from, is_silent)) => from == store && is_silent,
                     _ => false,
                 }
                 .then_some(store)
--- a/crates/cluster/src/follow.rs
+++ b/crates/cluster/src/follow.rs
@@ -7,7 +7,7 @@
 use crate::environment::now;
 use crate::member::{AdoptError, Member};
 use crate::peer_connection::{PeerConnection, RequestError};
-use crate::types::{PeerRequest, PeerResponse, UpdateRequest};
+use crate::types::{LegacyPollRequest, PeerRequest, PeerResponse};
 use sedgerun_replication::follow::{
     ANSWER_TIMEOUT_MS, Downstream, FollowerStep, Peer, Rejection, UpstreamPoll,
 };
@@ -163,8 +163,8 @@
     async fn read_response(&self, response: PeerResponse) -> Result<SubscribeReply, PollError> {
         let reply = match response {
             PeerResponse::Subscribed(reply) => reply,
-            PeerResponse::Update(origin, reply) => reply.into_subscribe_reply(origin),
-            PeerResponse::Refused(why) => return Err(PollError::Refused(why)),
+            PeerResponse::LegacyUpdate(origin, reply) => reply.into_subscribe_reply(origin),
+            PeerResponse::Rejected(why) => return Err(PollError::Refused(why)),
             _ => return Err(PollError::UnexpectedResponse),
         };
         // From its first update on a head belongs to that cluster and to no other.
@@ -218,7 +218,7 @@
         if reports {
             polling.reported_at = Some(Instant::now());
         }
-        PeerRequest::Follow(Box::new(UpdateRequest {
+        PeerRequest::LegacyPoll(Box::new(LegacyPollRequest {
             follower,
             subtree: reports.then(|| self.followers().subtree(now())),
             since: poll.since,
--- a/crates/cluster/src/frame.rs
+++ b/crates/cluster/src/frame.rs
@@ -2,7 +2,7 @@
 //! responses alternate.
 
 use crate::environment::Connection;
-use crate::traffic::Counted;
+use crate::traffic::CountedStream;
 use crate::types::{PeerRequest, PeerResponse};
 use sedgerun_replication::record::{self, RecordType};
 use serde::Serialize;
@@ -15,7 +15,7 @@
 const MAX_FRAME_BYTES: usize = 16 << 20;
 
 /// A connection to another head whose traffic is counted.
-pub type CountedConnection = Counted<Connection>;
+pub type CountedConnection = CountedStream<Connection>;
 
 /// Writes one frame.
 ///
--- a/crates/cluster/src/handle/metrics.rs
+++ b/crates/cluster/src/handle/metrics.rs
@@ -21,7 +21,7 @@
             ("fleet_is_keeper", votes),
             ("fleet_stopped", u64::from(status.role == "stopped")),
             ("fleet_version", status.version),
-            ("fleet_age_milliseconds", status.age.unwrap_or(u64::MAX)),
+            ("fleet_age_milliseconds", status.age_ms.unwrap_or(u64::MAX)),
             ("fleet_followers", u64::from(distribution.all_followers)),
             ("fleet_direct_followers", u64::from(distribution.direct_followers)),
             ("fleet_is_relay", u64::from(self.member.settings.relay)),
@@ -30,10 +30,10 @@
             ("fleet_sync_longest_microseconds", longest_sync_us),
             ("fleet_sync_mean_microseconds", mean_sync_us),
             ("fleet_repairs", status.repairs),
-            ("fleet_frames_refused", status.refused),
+            ("fleet_frames_refused", status.rejected_connections),
         ];
         metrics.extend(status.depth().map(|depth| ("fleet_depth", depth)));
-        metrics.extend(self.traffic().named(CLUSTER_TRAFFIC));
+        metrics.extend(self.traffic().as_metrics(CLUSTER_TRAFFIC));
         metrics
     }
 }
--- a/crates/cluster/src/handle/mod.rs
+++ b/crates/cluster/src/handle/mod.rs
@@ -12,7 +12,7 @@
 pub use start::ClusterStartError;
 
 use crate::change::new_change;
-use crate::change_error::Unsettled;
+use crate::change_error::ClusterRequestError;
 use crate::member::Member;
 use crate::node::Node;
 use crate::settings::Settings;
@@ -27,14 +27,14 @@
 use tokio::sync::watch;
 
 /// Time that a committed change may take until this head serves clients with it.
-const IN_FORCE_TIMEOUT: Duration = Duration::from_millis(500);
+const SERVING_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// The serving thread's handle of the cluster.
 pub struct ClusterHandle {
     runtime: Handle,
     member: Arc<Member>,
     /// The version with which this head serves clients.
-    in_force: watch::Sender<u64>,
+    serving_version: watch::Sender<u64>,
 }
 
 impl ClusterHandle {
@@ -44,7 +44,7 @@
     /// The store or the listening address cannot be used; the text names the file or the setting.
     pub fn start(settings: &Settings, head: &str) -> Result<ClusterHandle, ClusterStartError> {
         let (runtime, member) = start::start(settings, head)?;
-        Ok(ClusterHandle { runtime, member, in_force: watch::Sender::new(0) })
+        Ok(ClusterHandle { runtime, member, serving_version: watch::Sender::new(0) })
     }
 
     /// The handle of a node that runs in the current runtime.
@@ -52,21 +52,21 @@
         ClusterHandle {
             runtime: Handle::current(),
             member: Arc::clone(&node.member),
-            in_force: watch::Sender::new(0),
+            serving_version: watch::Sender::new(0),
         }
     }
 
     /// Makes a change: committed once it is synced at a majority of the voters. On return this head serves clients with
-    /// it, unless that takes longer than `IN_FORCE_TIMEOUT`.
+    /// it, unless that takes longer than `SERVING_TIMEOUT`.
     ///
     /// # Errors
     /// It was not committed in time; it may still be.
-    pub async fn change(&self, change: Change) -> Result<ChangeOutcome, Unsettled> {
+    pub async fn change(&self, change: Change) -> Result<ChangeOutcome, ClusterRequestError> {
         let member = Arc::clone(&self.member);
         let outcome = self.on_cluster_thread(async move { member.change(change).await }).await?;
         if let ChangeOutcome::Done { version, .. } = outcome {
             // It is committed, whether or not this head serves clients with it in time.
-            let _ = self.wait_in_force(version).await;
+            let _ = self.wait_until_serving(version).await;
         }
         Ok(outcome)
     }
@@ -75,9 +75,10 @@
     ///
     /// # Errors
     /// As of [`change`](ClusterHandle::change).
-    pub async fn ban(&self, backend: &str, banned: bool) -> Result<ChangeOutcome, Unsettled> {
+    pub async fn ban(&self, backend: &str, banned: bool) -> Result<ChangeOutcome, ClusterRequestError> {
         let command = Command::Ban { backend: backend.to_owned(), banned };
-        let change = new_change(None, None, command).map_err(|error| Unsettled(error.to_string()))?;
+        let change =
+            new_change(None, None, command).map_err(|error| ClusterRequestError(error.to_string()))?;
         self.change(change).await
     }
 
@@ -85,25 +86,26 @@
     ///
     /// # Errors
     /// It did not come that far in time.
-    pub async fn latest(&self) -> Result<u64, Unsettled> {
+    pub async fn wait_for_latest(&self) -> Result<u64, ClusterRequestError> {
         let member = Arc::clone(&self.member);
-        let version = self.on_cluster_thread(async move { member.latest().await }).await?;
-        self.wait_in_force(version).await
+        let version = self.on_cluster_thread(async move { member.wait_for_latest().await }).await?;
+        self.wait_until_serving(version).await
     }
 
     /// Waits until this head serves clients with a version; returns the version.
     ///
     /// # Errors
     /// It did not come that far in time.
-    pub async fn at_least(&self, version: u64) -> Result<u64, Unsettled> {
+    pub async fn wait_for_version(&self, version: u64) -> Result<u64, ClusterRequestError> {
         let member = Arc::clone(&self.member);
-        self.on_cluster_thread(async move { member.at_least(version, IN_FORCE_TIMEOUT).await }).await?;
-        self.wait_in_force(version).await
+        self.on_cluster_thread(async move { member.wait_for_version(version, SERVING_TIMEOUT).await })
+            .await?;
+        self.wait_until_serving(version).await
     }
 
     /// The version with which this head serves clients.
-    pub fn version(&self) -> u64 {
-        *self.in_force.borrow()
+    pub fn serving_version(&self) -> u64 {
+        *self.serving_version.borrow()
     }
 
     /// The version at which a tenant was last changed; 0 for no such tenant.
@@ -117,8 +119,8 @@
     }
 
     /// The version with which this head serves clients, as it changes.
-    pub fn in_force(&self) -> watch::Receiver<u64> {
-        self.in_force.subscribe()
+    pub fn watch_serving_version(&self) -> watch::Receiver<u64> {
+        self.serving_version.subscribe()
     }
 
     /// The traffic between this head and others of the cluster.
@@ -132,8 +134,8 @@
     }
 
     /// The version of the replicated state of this head, as it changes.
-    pub fn versions(&self) -> watch::Receiver<u64> {
-        self.member.state_machine.version()
+    pub fn watch_replicated_version(&self) -> watch::Receiver<u64> {
+        self.member.state_machine.watch_version()
     }
 
     /// Reads the replicated state of this head; `read` must be short, as it holds a lock.
@@ -142,24 +144,27 @@
     }
 
     /// Notes that this head serves clients with a version from now on.
-    pub fn set_in_force(&self, version: u64) {
-        self.in_force.send_replace(version);
+    pub fn set_serving_version(&self, version: u64) {
+        self.serving_version.send_replace(version);
     }
 
     async fn on_cluster_thread<T: Send + 'static>(
         &self,
-        work: impl Future<Output = Result<T, Unsettled>> + Send + 'static,
-    ) -> Result<T, Unsettled> {
+        work: impl Future<Output = Result<T, ClusterRequestError>> + Send + 'static,
+    ) -> Result<T, ClusterRequestError> {
         let result = self.runtime.spawn(work).await;
-        result.unwrap_or_else(|_| Err(Unsettled("the fleet's thread has ended".into())))
+        result.unwrap_or_else(|_| Err(ClusterRequestError("the fleet's thread has ended".into())))
     }
 
-    async fn wait_in_force(&self, version: u64) -> Result<u64, Unsettled> {
-        let mut in_force = self.in_force.subscribe();
-        let reached = in_force.wait_for(|current| *current >= version);
-        match tokio::time::timeout(IN_FORCE_TIMEOUT, reached).await {
+    async fn wait_until_serving(&self, version: u64) -> Result<u64, ClusterRequestError> {
+        let mut serving_version = self.serving_version.subscribe();
+        let reached = serving_version.wait_for(|current| *current >= version);
+        match tokio::time::timeout(SERVING_TIMEOUT, reached).await {
             Ok(Ok(current)) => Ok(*current),
-            _ => Err(Unsettled(format!("this head works with version {}, not {version}", self.version()))),
+            _ => Err(ClusterRequestError(format!(
+                "this head works with version {}, not {version}",
+                self.serving_version()
+            ))),
         }
     }
 }
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -50,7 +50,7 @@
 mod voter_connection;
 
 pub use change::new_change;
-pub use change_error::Unsettled;
+pub use change_error::ClusterRequestError;
 pub use handle::{ClusterHandle, ClusterStartError};
 pub use member::{AdoptError, BeginError, StartError};
 pub use state_machine::CorruptSnapshot;
--- a/crates/cluster/src/link.rs
+++ b/crates/cluster/src/link.rs
@@ -6,7 +6,7 @@
 
 use crate::environment::{Connection, Dial, now};
 use crate::frame::{CountedConnection, exchange, receive, send, within};
-use crate::traffic::{Counted, Traffic, TrafficTotals};
+use crate::traffic::{CountedStream, Traffic, TrafficTotals};
 use crate::types::{PeerRequest, PeerResponse};
 use sedgerun_replication::greeting::{Greeting, Refusal, StoreId, admit};
 use sedgerun_replication::record::RecordType;
@@ -75,7 +75,7 @@
 
     /// Counts the traffic of a connection with that of all others.
     pub fn counted(&self, stream: Connection) -> CountedConnection {
-        Counted::new(stream, Arc::clone(&self.0.traffic))
+        CountedStream::new(stream, Arc::clone(&self.0.traffic))
     }
 
     /// The traffic between this head and others.
--- a/crates/cluster/src/member/mod.rs
+++ b/crates/cluster/src/member/mod.rs
@@ -51,7 +51,7 @@
     pub log: RaftLog,
     identity: tokio::sync::Mutex<Identity>,
     /// Connections closed because of corrupt frames or rejected greetings.
-    pub refused_connections: AtomicU64,
+    pub rejected_connections: AtomicU64,
     /// The others have been asked for what this store acknowledged: it votes and acknowledges.
     pub has_recovered: AtomicBool,
     /// This store was a voter, and others have taken its place.
--- a/crates/cluster/src/member/respond.rs
+++ b/crates/cluster/src/member/respond.rs
@@ -17,21 +17,21 @@
             PeerRequest::Append(_) | PeerRequest::Vote(_) | PeerRequest::Snapshot(_) => {
                 self.respond_as_voter(request, from).await
             }
-            PeerRequest::Change(change, left_ms) => self.change_for_peer(change, left_ms).await,
-            PeerRequest::Propose(change) => match self.change(change).await {
+            PeerRequest::CommitChange(change, left_ms) => self.change_for_peer(change, left_ms).await,
+            PeerRequest::SubmitChange(change) => match self.change(change).await {
                 Ok(outcome) => PeerResponse::Changed(outcome),
-                Err(error) => PeerResponse::Refused(error.to_string()),
+                Err(error) => PeerResponse::Rejected(error.to_string()),
             },
-            PeerRequest::Latest => match self.linearizable_version().await {
-                Ok(version) => PeerResponse::Latest(version),
-                Err(error) => PeerResponse::Refused(error.to_string()),
+            PeerRequest::LinearizableVersion => match self.linearizable_version().await {
+                Ok(version) => PeerResponse::LinearizableVersion(version),
+                Err(error) => PeerResponse::Rejected(error.to_string()),
             },
             PeerRequest::Begin => match self.begin().await {
                 Ok(()) => PeerResponse::Begun,
-                Err(error) => PeerResponse::Refused(error.to_string()),
+                Err(error) => PeerResponse::Rejected(error.to_string()),
             },
-            PeerRequest::Silent(last) => PeerResponse::Silent(self.raft_id(), self.is_silent(last)),
-            PeerRequest::Follow(request) => self.serve_update(*request, from).await,
+            PeerRequest::PreVote(last) => PeerResponse::PreVote(self.raft_id(), self.is_silent(last)),
+            PeerRequest::LegacyPoll(request) => self.serve_update(*request, from).await,
             PeerRequest::Subscribe(subscription) => self.serve_subscription(*subscription, from).await,
             PeerRequest::RegisterRelay(registration) => self.register_relay(registration, from),
             PeerRequest::Distribution => PeerResponse::Distribution(Box::new(self.distribution())),
@@ -46,19 +46,19 @@
     async fn respond_as_voter(&self, request: PeerRequest, from: &Greeting) -> PeerResponse {
         // Guards against acknowledgements on top of an older copy of the disk.
         if self.links.is_rolled_back() || !self.has_recovered.load(Ordering::SeqCst) {
-            return PeerResponse::Refused(
+            return PeerResponse::Rejected(
                 "has just started, and asks the others what it has acknowledged".into(),
             );
         }
         // A head that takes part in the consensus is of the same cluster, from its first Raft request on.
         if let Err(error) = self.adopt(from.origin).await {
-            return PeerResponse::Refused(error.to_string());
+            return PeerResponse::Rejected(error.to_string());
         }
         let (received_at, sender_watermark) = (now(), sender_watermark(&request));
         let Ok(response) = answer_raft(&self.raft, request).await else {
-            return PeerResponse::Refused("not a request of the consensus protocol".into());
+            return PeerResponse::Rejected("not a request of the consensus protocol".into());
         };
-        crash_point("before the answer to a leader");
+        crash_point("before the response to a leader");
         if let PeerResponse::Append(answer) = &response
             && !matches!(answer, AppendEntriesResponse::HigherVote(_))
         {
--- a/crates/cluster/src/member/start.rs
+++ b/crates/cluster/src/member/start.rs
@@ -83,7 +83,7 @@
             disk,
             log,
             identity: tokio::sync::Mutex::new(identity),
-            refused_connections: AtomicU64::new(0),
+            rejected_connections: AtomicU64::new(0),
             has_recovered: AtomicBool::default(),
             is_removed: AtomicBool::default(),
             repairs: AtomicU64::new(0),
@@ -162,7 +162,7 @@
 
 /// Size of one chunk of a snapshot, in bytes; tests set less.
 fn snapshot_chunk_bytes() -> u64 {
-    fail::fail_point!("bytes of a piece", |configured| configured
+    fail::fail_point!("snapshot chunk bytes", |configured| configured
         .and_then(|configured| configured.parse().ok())
         .unwrap_or(SNAPSHOT_CHUNK_BYTES));
     SNAPSHOT_CHUNK_BYTES
--- a/crates/cluster/src/member/status.rs
+++ b/crates/cluster/src/member/status.rs
@@ -13,28 +13,28 @@
     pub fn status(&self) -> HeadStatus {
         let metrics = self.raft.metrics().borrow().clone();
         let own = self.links.own();
-        let trouble = self.fault(&metrics);
+        let fault = self.fault(&metrics);
         let (path, age) = self.path_and_age();
         let leads = metrics.state == ServerState::Leader;
         HeadStatus {
-            role: self.role_name(trouble.is_some(), metrics.state, age).to_owned(),
+            role: self.role_name(fault.is_some(), metrics.state, age).to_owned(),
             leader: if leads { Some(own.head.clone()) } else { self.leader().map(|leader| leader.head) },
-            fleet: own.fleet,
+            cluster: own.fleet,
             head: own.head,
             store: metrics.id,
             incarnation: own.incarnation.count,
             term: metrics.current_term,
             version: self.state_machine.read(|view| view.version),
-            applied: metrics.last_applied.map_or(0, |applied| applied.index),
-            last: metrics.last_log_index.unwrap_or(0),
+            applied_index: metrics.last_applied.map_or(0, |applied| applied.index),
+            last_index: metrics.last_log_index.unwrap_or(0),
             voters: self.voter_statuses(&metrics),
             followers: self.followers().subtree(now()),
             path,
-            age,
+            age_ms: age,
             repairs: self.repairs.load(Ordering::Relaxed),
             syncs: self.disk.sync_times.summary(),
-            refused: self.refused_connections.load(Ordering::Relaxed),
-            trouble,
+            rejected_connections: self.rejected_connections.load(Ordering::Relaxed),
+            fault,
         }
     }
 
@@ -58,7 +58,7 @@
                 address: address.map_or(voter.address.clone(), |address| address.to_string()),
                 zone: voter.zone.clone(),
                 votes: voter_ids.contains(store),
-                matched: matched.map(|matched| matched.index),
+                matched_index: matched.map(|matched| matched.index),
             }
         });
         voters.collect()
--- a/crates/cluster/src/node.rs
+++ b/crates/cluster/src/node.rs
@@ -5,7 +5,7 @@
 //! accepted by `serve`.
 
 use crate::change::MAX_WAITING_CHANGES;
-use crate::change_error::Unsettled;
+use crate::change_error::ClusterRequestError;
 use crate::environment::Connection;
 use crate::member::{BeginError, Member, StartError};
 pub use crate::node_setup::NodeSetup;
@@ -50,14 +50,14 @@
         let member = Arc::clone(&self.member);
         while self.tasks.try_join_next().is_some() {}
         // Guards against callers that connect and stay: those past the limit are closed at once.
-        if self.tasks.len() >= self.own_tasks + member.settings.max_callers(member.votes()) {
+        if self.tasks.len() >= self.own_tasks + member.settings.max_peer_connections(member.votes()) {
             return;
         }
         self.tasks.spawn(async move { drop(serve_connection(&member, connection).await) });
     }
 
     /// Ends it at once. What the consensus library has begun ends by itself, and finds no disk and no connection.
-    pub fn end(self) {
+    pub fn stop(self) {
         let member = Arc::clone(&self.member);
         drop(self);
         tokio::spawn(async move { drop(member.raft.shutdown().await) });
@@ -69,12 +69,12 @@
     }
 
     /// The number of its store.
-    pub fn store(&self) -> StoreId {
+    pub fn store_id(&self) -> StoreId {
         self.member.raft_id()
     }
 
     /// The term in which it leads, as far as it knows.
-    pub fn leads_in(&self) -> Option<u64> {
+    pub fn leading_term(&self) -> Option<u64> {
         let metrics = self.member.raft.metrics().borrow().clone();
         (metrics.state == ServerState::Leader).then_some(metrics.current_term)
     }
@@ -98,7 +98,7 @@
     ///
     /// # Errors
     /// It was not committed in time; it may still be.
-    pub async fn change(&self, change: Change) -> Result<ChangeOutcome, Unsettled> {
+    pub async fn change(&self, change: Change) -> Result<ChangeOutcome, ClusterRequestError> {
         self.0.change(change).await
     }
 
@@ -119,8 +119,8 @@
     ///
     /// # Errors
     /// It did not come that far in time.
-    pub async fn latest(&self) -> Result<View, Unsettled> {
-        self.0.latest().await?;
+    pub async fn read_latest(&self) -> Result<View, ClusterRequestError> {
+        self.0.wait_for_latest().await?;
         Ok(self.view())
     }
 }
@@ -163,7 +163,7 @@
             tracing::info!(term = current.1, leader, version = status.version, "fleet: now {}", current.0);
             logged = current;
         }
-        if let Some(fault) = status.trouble.filter(|_| !has_logged_fault) {
+        if let Some(fault) = status.fault.filter(|_| !has_logged_fault) {
             tracing::error!("fleet: keeps and promises nothing any more: {fault}");
             has_logged_fault = true;
         }
--- a/crates/cluster/src/relay.rs
+++ b/crates/cluster/src/relay.rs
@@ -92,7 +92,7 @@
         }
         let outcome = match connection.request(request, REGISTRATION_TIMEOUT).await {
             Ok(PeerResponse::Registered) => RegistrationOutcome::Granted(connection),
-            Ok(PeerResponse::Refused(why)) => RegistrationOutcome::Refused(why),
+            Ok(PeerResponse::Rejected(why)) => RegistrationOutcome::Refused(why),
             Err(RequestError::Hangup) => RegistrationOutcome::UnknownRequest(incarnation),
             Ok(_) | Err(RequestError::Io(_)) => RegistrationOutcome::NoAnswer,
         };
@@ -102,10 +102,10 @@
     /// Grants or renews the lease of the relay that sent this greeting.
     pub fn register_relay(&self, registration: RelayRegistration, from: &Greeting) -> PeerResponse {
         let Some(store) = from.store else {
-            return PeerResponse::Refused("a relay has a store".into());
+            return PeerResponse::Rejected("a relay has a store".into());
         };
         if !self.votes() {
-            return PeerResponse::Refused("does not vote".into());
+            return PeerResponse::Rejected("does not vote".into());
         }
         let relay = Relay {
             peer: Peer { head: from.head.clone(), address: from.address.clone() },
@@ -117,7 +117,7 @@
         let status = RelayStatus { relay, followers: registration.followers };
         match self.voting_registry().register(now(), status) {
             Ok(()) => PeerResponse::Registered,
-            Err(why) => PeerResponse::Refused(why.to_string()),
+            Err(why) => PeerResponse::Rejected(why.to_string()),
         }
     }
 }
--- a/crates/cluster/src/serve.rs
+++ b/crates/cluster/src/serve.rs
@@ -35,7 +35,7 @@
         let member = Arc::clone(&member);
         // Guards against callers that connect and stay: those past the limit are closed at once. The limit changes when
         // this head becomes a voter, or no longer is one.
-        if Arc::strong_count(&connections) > member.settings.max_callers(member.votes()) {
+        if Arc::strong_count(&connections) > member.settings.max_peer_connections(member.votes()) {
             continue;
         }
         let permit = Arc::clone(&connections);
@@ -55,7 +55,7 @@
 /// Counts and logs a connection that was closed because of a corrupt frame or a rejected greeting.
 fn log_refused(member: &Member, peer: SocketAddr, error: &io::Error) {
     if matches!(error.kind(), io::ErrorKind::InvalidData | io::ErrorKind::PermissionDenied) {
-        let refused = member.refused_connections.fetch_add(1, Ordering::Relaxed) + 1;
+        let refused = member.rejected_connections.fetch_add(1, Ordering::Relaxed) + 1;
         tracing::warn!("fleet: {peer}: {error}; connection closed, {refused} so far");
     }
 }
--- a/crates/cluster/src/settings.rs
+++ b/crates/cluster/src/settings.rs
@@ -19,9 +19,9 @@
 /// File descriptors of the program where its settings do not say.
 pub const DEFAULT_SOCKETS: usize = 1024;
 /// Heads and command lines that are connected at once to an ordinary head; relays have as many beside their followers.
-const MAX_CALLERS: usize = 128;
+const MAX_PEER_CONNECTIONS: usize = 128;
 /// The same at a voter, which all heads of a zone may call first when they start together.
-const MAX_VOTER_CALLERS: usize = 1024;
+const MAX_VOTER_PEER_CONNECTIONS: usize = 1024;
 
 /// The settings of the cluster.
 #[derive(Clone, Debug, PartialEq)]
@@ -121,11 +121,11 @@
     }
 
     /// Heads and command lines that are connected at once, at most.
-    pub fn max_callers(&self, votes: bool) -> usize {
+    pub fn max_peer_connections(&self, votes: bool) -> usize {
         match (self.relay, votes) {
-            (true, _) => self.follower_capacity() + MAX_CALLERS.min(self.sockets / 8),
-            (false, true) => (self.sockets / 4).clamp(MAX_CALLERS, MAX_VOTER_CALLERS),
-            (false, false) => MAX_CALLERS,
+            (true, _) => self.follower_capacity() + MAX_PEER_CONNECTIONS.min(self.sockets / 8),
+            (false, true) => (self.sockets / 4).clamp(MAX_PEER_CONNECTIONS, MAX_VOTER_PEER_CONNECTIONS),
+            (false, false) => MAX_PEER_CONNECTIONS,
         }
     }
 
--- a/crates/cluster/src/state_machine.rs
+++ b/crates/cluster/src/state_machine.rs
@@ -162,7 +162,7 @@
     }
 
     /// The version of the newest view, as it changes.
-    pub fn version(&self) -> watch::Receiver<u64> {
+    pub fn watch_version(&self) -> watch::Receiver<u64> {
         self.version.subscribe()
     }
 
@@ -250,7 +250,7 @@
         let state = decode_state(&bytes).map_err(|error| storage_error(ErrorVerb::Read, error))?;
         let saved = self.disk.put_snapshot(meta, &bytes).await;
         saved.map_err(|error| storage_error(ErrorVerb::Write, error))?;
-        crash_point("after a snapshot is taken over");
+        crash_point("after a snapshot is installed");
         {
             let mut data = self.lock();
             (data.state, data.applied) = (state, meta.last_log_id);
--- a/crates/cluster/src/traffic.rs
+++ b/crates/cluster/src/traffic.rs
@@ -64,7 +64,7 @@
 
 impl TrafficTotals {
     /// Bytes in both directions.
-    pub fn payload(&self) -> u64 {
+    pub fn total_bytes(&self) -> u64 {
         self.bytes_received + self.bytes_sent
     }
 
@@ -79,7 +79,7 @@
     }
 
     /// The totals under these metric names: bytes received and sent, messages received and sent.
-    pub fn named(&self, names: [&'static str; 4]) -> [(&'static str, u64); 4] {
+    pub fn as_metrics(&self, names: [&'static str; 4]) -> [(&'static str, u64); 4] {
         let totals = [self.bytes_received, self.bytes_sent, self.messages_received, self.messages_sent];
         std::array::from_fn(|i| (names[i], totals[i]))
     }
@@ -87,15 +87,15 @@
 
 /// A connection whose payload is counted.
 #[derive(Debug)]
-pub struct Counted<S> {
+pub struct CountedStream<S> {
     stream: S,
     traffic: Arc<Traffic>,
 }
 
-impl<S> Counted<S> {
+impl<S> CountedStream<S> {
     /// Counts a connection's payload in `traffic`.
-    pub fn new(stream: S, traffic: Arc<Traffic>) -> Counted<S> {
-        Counted { stream, traffic }
+    pub fn new(stream: S, traffic: Arc<Traffic>) -> CountedStream<S> {
+        CountedStream { stream, traffic }
     }
 
     /// The counters.
@@ -104,7 +104,7 @@
     }
 }
 
-impl<S: AsyncRead + Unpin> AsyncRead for Counted<S> {
+impl<S: AsyncRead + Unpin> AsyncRead for CountedStream<S> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -117,7 +117,7 @@
     }
 }
 
-impl<S: AsyncWrite + Unpin> AsyncWrite for Counted<S> {
+impl<S: AsyncWrite + Unpin> AsyncWrite for CountedStream<S> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
--- a/crates/cluster/src/types/messages.rs
+++ b/crates/cluster/src/types/messages.rs
@@ -23,21 +23,21 @@
     /// Raft: a chunk of a snapshot.
     Snapshot(InstallSnapshotRequest<RaftTypes>),
     /// A change for the leader to make, with the time left for it in milliseconds.
-    Change(Change, u64),
+    CommitChange(Change, u64),
     /// The version that a linearizable read must see.
-    Latest,
+    LinearizableVersion,
     /// The status of the head.
     Status,
     /// Begin the cluster with the voters of the settings.
     Begin,
     /// Pre-vote: whether the receiver hears from no leader either. Sent by a voter whose log ends at this position.
-    Silent(Option<LogId>),
+    PreVote(Option<LogId>),
     /// The poll of a follower of an earlier version.
-    Follow(Box<UpdateRequest>),
+    LegacyPoll(Box<LegacyPollRequest>),
     /// A chunk of the state, from `since` and `first_version` ([`View::chunk`](sedgerun_replication::View::chunk)).
     Chunk(u64, u64),
     /// Make a change, wherever the leader is. Sent by the command line.
-    Propose(Change),
+    SubmitChange(Change),
     /// The poll of a follower. Heads of earlier versions do not know this request, nor those below, and close the
     /// connection.
     Subscribe(Box<Subscription>),
@@ -58,7 +58,7 @@
 
 /// The poll of a follower of an earlier version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct UpdateRequest {
+pub struct LegacyPollRequest {
     /// The follower, and the version that it has.
     pub follower: Downstream,
     /// Its own subtree, with some of the polls.
@@ -85,21 +85,21 @@
     /// The outcome of a change.
     Changed(ChangeOutcome),
     /// A version.
-    Latest(u64),
+    LinearizableVersion(u64),
     /// The status of the head.
     Status(Box<HeadStatus>),
     /// The cluster has begun.
     Begun,
     /// To a pre-vote: this store, and whether it hears from no leader either and would not reject the sender's log.
-    Silent(StoreId, bool),
+    PreVote(StoreId, bool),
     /// To a follower of an earlier version, with the origin of the cluster.
-    Update(Option<u64>, UpdateReply),
+    LegacyUpdate(Option<u64>, UpdateReply),
     /// A chunk of the state.
     Chunk(Chunk),
     /// This head does not lead; this one does, as far as it knows.
     NotLeader(Option<VoterAddress>),
     /// Not done, for this reason.
-    Refused(String),
+    Rejected(String),
     /// To the poll of a follower.
     Subscribed(SubscribeReply),
     /// The lease is granted.
--- a/crates/cluster/src/types/mod.rs
+++ b/crates/cluster/src/types/mod.rs
@@ -8,6 +8,6 @@
 mod raft;
 mod status;
 
-pub use messages::{PeerRequest, PeerResponse, RelayRegistration, UpdateRequest};
+pub use messages::{LegacyPollRequest, PeerRequest, PeerResponse, RelayRegistration};
 pub use raft::{Entry, LogId, Membership, Raft, RaftTypes, SnapshotMeta, StorageError, Vote, VoterAddress};
 pub use status::{DistributionStatus, HeadStatus, VoterStatus};
--- a/crates/cluster/src/types/status.rs
+++ b/crates/cluster/src/types/status.rs
@@ -10,7 +10,8 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeadStatus {
     /// The cluster's name.
-    pub fleet: String,
+    #[serde(rename = "fleet")]
+    pub cluster: String,
     /// The head's name.
     pub head: String,
     /// Its store.
@@ -28,9 +29,11 @@
     /// Version of the state.
     pub version: u64,
     /// Log index of the last entry that was applied.
-    pub applied: u64,
+    #[serde(rename = "applied")]
+    pub applied_index: u64,
     /// Log index of the last entry.
-    pub last: u64,
+    #[serde(rename = "last")]
+    pub last_index: u64,
     /// The voters.
     #[serde(rename = "keepers")]
     pub voters: Vec<VoterStatus>,
@@ -40,21 +43,24 @@
     #[serde(rename = "lineage")]
     pub path: Vec<String>,
     /// How old its state may be, in milliseconds; `None` before the first update.
-    pub age: Option<u64>,
+    #[serde(rename = "age")]
+    pub age_ms: Option<u64>,
     /// Membership changes that it has made as leader since its start.
     pub repairs: u64,
     /// Synced writes since the start, and the longest and the mean time of one in microseconds.
     pub syncs: (u64, u64, u64),
     /// Connections closed since the start because of corrupt frames or rejected greetings.
-    pub refused: u64,
+    #[serde(rename = "refused")]
+    pub rejected_connections: u64,
     /// Why it no longer votes, if it was stopped by a fault.
-    pub trouble: Option<String>,
+    #[serde(rename = "trouble")]
+    pub fault: Option<String>,
 }
 
 impl HeadStatus {
     /// Number of heads between a voter and this one; `None` before the first update.
     pub fn depth(&self) -> Option<u64> {
-        self.age.map(|_| (self.path.len() as u64).saturating_sub(2))
+        self.age_ms.map(|_| (self.path.len() as u64).saturating_sub(2))
     }
 }
 
@@ -72,7 +78,8 @@
     /// It votes; otherwise it is a learner.
     pub votes: bool,
     /// Log index up to which its log is known to match; only the leader knows it.
-    pub matched: Option<u64>,
+    #[serde(rename = "matched")]
+    pub matched_index: Option<u64>,
 }
 
 /// The position of a head among relays and followers.
--- a/crates/cluster/src/upstream.rs
+++ b/crates/cluster/src/upstream.rs
@@ -5,7 +5,7 @@
 
 use crate::environment::now;
 use crate::member::Member;
-use crate::types::{DistributionStatus, PeerResponse, UpdateRequest};
+use crate::types::{DistributionStatus, LegacyPollRequest, PeerResponse};
 use sedgerun_replication::follow::{Admission, Downstream, Peer, PollingFollower, UpdateReply};
 use sedgerun_replication::greeting::Greeting;
 use sedgerun_replication::relay::{Directory, FollowerRole, RelayStatus};
@@ -31,7 +31,7 @@
     /// Answers the poll of a follower: with an update as soon as there is one.
     pub async fn serve_subscription(&self, subscription: Subscription, from: &Greeting) -> PeerResponse {
         let Some(store) = from.store else {
-            return PeerResponse::Refused("a follower has a store".into());
+            return PeerResponse::Rejected("a follower has a store".into());
         };
         let downstream = Downstream {
             at: Peer { head: from.head.clone(), address: from.address.clone() },
@@ -52,12 +52,12 @@
             Admission::Full => {
                 return redirected(directory, subscription.cached, self.followers().peers());
             }
-            Admission::DuplicateName => return PeerResponse::Refused(DUPLICATE_NAME.into()),
+            Admission::DuplicateName => return PeerResponse::Rejected(DUPLICATE_NAME.into()),
         }
         let wait = subscription.wait.min(MAX_POLL_WAIT_MS);
         self.wait_for_change(wait, |version| !is_up_to_date(&subscription, version)).await;
         let Some(source) = self.update_source() else {
-            return PeerResponse::Refused(NO_STATE_YET.into());
+            return PeerResponse::Rejected(NO_STATE_YET.into());
         };
         PeerResponse::Subscribed(self.update_within_permits(&source, &subscription, store))
     }
@@ -85,11 +85,11 @@
     }
 
     /// Answers the poll of a follower of an earlier version.
-    pub async fn serve_update(&self, request: UpdateRequest, from: &Greeting) -> PeerResponse {
+    pub async fn serve_update(&self, request: LegacyPollRequest, from: &Greeting) -> PeerResponse {
         if from.store != Some(request.follower.store) {
-            return PeerResponse::Refused("a follower asks for another store than its own".into());
+            return PeerResponse::Rejected("a follower asks for another store than its own".into());
         }
-        let UpdateRequest { follower, subtree, since, first_version, wait_ms } = request;
+        let LegacyPollRequest { follower, subtree, since, first_version, wait_ms } = request;
         let version_of_follower = follower.version;
         let follower = PollingFollower {
             downstream: follower,
@@ -101,20 +101,23 @@
         let admission = self.followers().admit(now(), follower, false);
         match admission {
             Admission::Admitted => {}
-            Admission::DuplicateName => return PeerResponse::Refused(DUPLICATE_NAME.into()),
+            Admission::DuplicateName => return PeerResponse::Rejected(DUPLICATE_NAME.into()),
             Admission::Full | Admission::RedirectedToRelays => {
-                return PeerResponse::Update(None, UpdateReply::Full { redirect: self.legacy_redirect() });
+                return PeerResponse::LegacyUpdate(
+                    None,
+                    UpdateReply::Full { redirect: self.legacy_redirect() },
+                );
             }
         }
         // A follower that is ahead of this head is answered at once, so that it looks for another.
         let is_due = |version| first_version != 0 || version_of_follower != since || version != since;
         self.wait_for_change(wait_ms.min(RELAY_WAIT_MS), is_due).await;
         let Some(UpdateSource { route, age, .. }) = self.update_source() else {
-            return PeerResponse::Refused(NO_STATE_YET.into());
+            return PeerResponse::Rejected(NO_STATE_YET.into());
         };
         let Route { origin, path, leader, voters } = route;
         let chunk = self.serve_chunk(since, first_version);
-        PeerResponse::Update(origin, UpdateReply::Chunk { chunk, path, age, leader, voters })
+        PeerResponse::LegacyUpdate(origin, UpdateReply::Chunk { chunk, path, age, leader, voters })
     }
 
     /// The next chunk for a head that has everything up to `since`, in a transfer that began at `first_version`.
@@ -133,7 +136,7 @@
 
     /// Waits until an answer is due at this head's version, for `wait_ms` milliseconds at most.
     async fn wait_for_change(&self, wait_ms: u64, is_due: impl Fn(u64) -> bool) {
-        let mut versions = self.state_machine.version();
+        let mut versions = self.state_machine.watch_version();
         let changed = versions.wait_for(|version| is_due(*version));
         let _ = tokio::time::timeout(Duration::from_millis(wait_ms), changed).await;
     }
--- a/crates/cluster/src/voter_connection.rs
+++ b/crates/cluster/src/voter_connection.rs
@@ -48,7 +48,7 @@
             let response = exchange(&mut stream, request).await?;
             self.stream = Some(stream);
             // Guards against a voter that answers but no longer stores anything: it counts as silent.
-            if !matches!(response, PeerResponse::Refused(_)) {
+            if !matches!(response, PeerResponse::Rejected(_)) {
                 self.links.record_answer(self.target);
             }
             Ok(response)
@@ -64,7 +64,7 @@
 /// The error for a refusal, or for a response that does not fit the request.
 fn refused<E: std::error::Error>(response: &PeerResponse) -> RPCError<StoreId, VoterAddress, E> {
     let what = match response {
-        PeerResponse::Refused(why) => why.clone(),
+        PeerResponse::Rejected(why) => why.clone(),
         _ => "an answer to something else".to_owned(),
     };
     RPCError::Network(NetworkError::new(&io::Error::other(what)))
@@ -144,7 +144,7 @@
 /// # Errors
 /// The request, if it is not one of Raft.
 pub async fn answer_raft(raft: &Raft, request: PeerRequest) -> Result<PeerResponse, PeerRequest> {
-    let refused = |error: &dyn std::error::Error| PeerResponse::Refused(error.to_string());
+    let refused = |error: &dyn std::error::Error| PeerResponse::Rejected(error.to_string());
     Ok(match request {
         PeerRequest::Append(rpc) => {
             raft.append_entries(rpc).await.map_or_else(|error| refused(&error), PeerResponse::Append)
--- a/crates/cluster/tests/error_texts.rs
+++ b/crates/cluster/tests/error_texts.rs
@@ -4,7 +4,7 @@
 use sedgerun_cluster::disk::{self, OpenError, StoreError, WriteError};
 use sedgerun_cluster::force_recovery::{ForceRecoveryError, force_recovery};
 use sedgerun_cluster::settings::{DEFAULT_SOCKETS, Settings};
-use sedgerun_cluster::{AdoptError, BeginError, ClusterHandle, ClusterStartError, Unsettled};
+use sedgerun_cluster::{AdoptError, BeginError, ClusterHandle, ClusterRequestError, ClusterStartError};
 use sedgerun_replication::record::CorruptRecord;
 use sedgerun_replication::state::ChangeOutcome;
 use sedgerun_replication::view::UpstreamBehind;
@@ -140,7 +140,7 @@
     for (error, text) in errors {
         assert_eq!(error.to_string(), text);
     }
-    assert_eq!(Unsettled("no leader is known".into()).to_string(), "no leader is known");
+    assert_eq!(ClusterRequestError("no leader is known".into()).to_string(), "no leader is known");
 }
 
 #[test]
@@ -148,7 +148,7 @@
     let (head, file) = (|| "n1".to_owned(), || PathBuf::from("/backup"));
     let errors = [
         (ClientError::Runtime(failure()), "no runtime: it is broken"),
-        (ClientError::Rejected("no tenant x".into()), "no tenant x"),
+        (ClientError::ChangeRejected("no tenant x".into()), "no tenant x"),
         (ClientError::UnexpectedOutcome(ChangeOutcome::Stale(3)), "Stale(3)"),
         (ClientError::NoLeader, "no leader answers"),
         (ClientError::NotAVoter(head()), "n1 does not vote"),
@@ -161,7 +161,7 @@
             ClientError::Head { head: head(), address: ADDRESS, source: HeadError::UnexpectedResponse },
             "n1 at 127.0.0.1:7: an answer to something else",
         ),
-        (ClientError::Refused("of another origin".into()), "of another origin"),
+        (ClientError::RequestRejected("of another origin".into()), "of another origin"),
     ];
     for (error, text) in errors {
         assert_eq!(error.to_string(), text);
--- a/crates/cluster/tests/frozen_messages.rs
+++ b/crates/cluster/tests/frozen_messages.rs
@@ -19,8 +19,8 @@
 use sedgerun_cluster::disk::Identity;
 use sedgerun_cluster::settings::Settings;
 use sedgerun_cluster::types::{
-    DistributionStatus, Entry, HeadStatus, LogId, Membership, PeerRequest, PeerResponse, RelayRegistration,
-    SnapshotMeta, UpdateRequest, Vote, VoterAddress, VoterStatus,
+    DistributionStatus, Entry, HeadStatus, LegacyPollRequest, LogId, Membership, PeerRequest, PeerResponse,
+    RelayRegistration, SnapshotMeta, Vote, VoterAddress, VoterStatus,
 };
 use sedgerun_replication::follow::{Downstream, Peer, UpdateReply, Voters};
 use sedgerun_replication::greeting::{Greeting, Refusal};
@@ -185,10 +185,10 @@
         address: "192.0.2.17:4410".into(),
         zone: Some("a".into()),
         votes: true,
-        matched: Some(89_999),
+        matched_index: Some(89_999),
     };
     HeadStatus {
-        fleet: "rig".into(),
+        cluster: "rig".into(),
         head: "n0".into(),
         store: STORE,
         incarnation: 300,
@@ -196,16 +196,16 @@
         leader: Some("n0".into()),
         term: 17,
         version: 70_000,
-        applied: 90_000,
-        last: 90_001,
+        applied_index: 90_000,
+        last_index: 90_001,
         voters: vec![voter],
         followers: vec![downstream()],
         path: vec!["n0".into(), "n4".into()],
-        age: Some(1500),
+        age_ms: Some(1500),
         repairs: 2,
         syncs: (1000, 20_000, 400),
-        refused: 3,
-        trouble: Some("an older copy of its disk".into()),
+        rejected_connections: 3,
+        fault: Some("an older copy of its disk".into()),
     }
 }
 
@@ -261,7 +261,7 @@
 
 /// All other calls.
 fn calls() -> Vec<(&'static str, PeerRequest)> {
-    let request = UpdateRequest {
+    let request = LegacyPollRequest {
         follower: downstream(),
         subtree: Some(vec![downstream()]),
         since: 70_001,
@@ -270,15 +270,15 @@
     };
     let registration = RelayRegistration { region: Some("north".into()), followers: 1000 };
     vec![
-        ("change", PeerRequest::Change(change("k1"), 950)),
-        ("latest", PeerRequest::Latest),
+        ("change", PeerRequest::CommitChange(change("k1"), 950)),
+        ("latest", PeerRequest::LinearizableVersion),
         ("status", PeerRequest::Status),
         ("begin", PeerRequest::Begin),
-        ("silent", PeerRequest::Silent(Some(position(17, 90_000)))),
-        ("silent_with_empty_log", PeerRequest::Silent(None)),
-        ("follow", PeerRequest::Follow(Box::new(request))),
+        ("silent", PeerRequest::PreVote(Some(position(17, 90_000)))),
+        ("silent_with_empty_log", PeerRequest::PreVote(None)),
+        ("follow", PeerRequest::LegacyPoll(Box::new(request))),
         ("chunk", PeerRequest::Chunk(70_001, 70_002)),
-        ("propose", PeerRequest::Propose(change("line 0123"))),
+        ("propose", PeerRequest::SubmitChange(change("line 0123"))),
         ("subscribe", PeerRequest::Subscribe(Box::new(subscription()))),
         ("register_relay", PeerRequest::RegisterRelay(registration)),
         ("distribution", PeerRequest::Distribution),
@@ -319,15 +319,15 @@
         ),
         ("changed_stale", PeerResponse::Changed(ChangeOutcome::Stale(69_999))),
         ("changed_reused", PeerResponse::Changed(ChangeOutcome::Reused)),
-        ("latest", PeerResponse::Latest(70_000)),
+        ("latest", PeerResponse::LinearizableVersion(70_000)),
         ("status", PeerResponse::Status(Box::new(status()))),
         ("status_of_new_head", PeerResponse::Status(Box::default())),
         ("begun", PeerResponse::Begun),
-        ("silent", PeerResponse::Silent(STORE, true)),
+        ("silent", PeerResponse::PreVote(STORE, true)),
         ("chunk", PeerResponse::Chunk(chunk())),
         ("not_leader", PeerResponse::NotLeader(Some(voter("n1")))),
         ("not_leader_and_none_known", PeerResponse::NotLeader(None)),
-        ("refused", PeerResponse::Refused("has just started".into())),
+        ("refused", PeerResponse::Rejected("has just started".into())),
         ("registered", PeerResponse::Registered),
         ("distribution", PeerResponse::Distribution(Box::new(distribution()))),
     ]
@@ -340,8 +340,8 @@
     let full = UpdateReply::Full { redirect: vec![peer("n4")] };
     let redirect = Redirect { directory: Some(Directory::new([relay()])), peers: vec![peer("n4")] };
     vec![
-        ("update", PeerResponse::Update(Some(OTHER_STORE), legacy)),
-        ("update_full", PeerResponse::Update(None, full)),
+        ("update", PeerResponse::LegacyUpdate(Some(OTHER_STORE), legacy)),
+        ("update_full", PeerResponse::LegacyUpdate(None, full)),
         ("subscribed_update", PeerResponse::Subscribed(SubscribeReply::Update(update()))),
         ("subscribed_redirect", PeerResponse::Subscribed(SubscribeReply::Redirect(redirect))),
         ("subscribed_retry_after", PeerResponse::Subscribed(SubscribeReply::RetryAfter(400))),
@@ -443,7 +443,7 @@
 fn the_client_frames_its_calls_reads_replies_and_writes_a_backup_as_recorded() {
     let answers = [
         ("greeting_answer", framed(RecordType::Greeting, &Ok::<Greeting, Refusal>(greeting()))),
-        ("reply_latest", framed(RecordType::Reply, &PeerResponse::Latest(302))),
+        ("reply_latest", framed(RecordType::Reply, &PeerResponse::LinearizableVersion(302))),
         ("reply_chunk", framed(RecordType::Reply, &PeerResponse::Chunk(chunk()))),
     ];
     let mut lines = section("frame");
@@ -479,7 +479,9 @@
     std::fs::remove_file(&file).expect("a backup");
     let read = served.join().expect("the stand-in");
     match record::open(RecordType::Call, &read[1][4..]) {
-        Ok(PeerRequest::Propose(Change { expect: None, command: Command::Restore(restored), .. })) => {
+        Ok(PeerRequest::SubmitChange(Change {
+            expect: None, command: Command::Restore(restored), ..
+        })) => {
             assert_eq!(restored, objects());
         }
         other => panic!("{other:?}"),
--- a/crates/sedgerun/src/admin/cluster.rs
+++ b/crates/sedgerun/src/admin/cluster.rs
@@ -45,7 +45,7 @@
         let change = new_change(key, expected_version(request)?, command)
             .map_err(|error| ApiResponse::error(StatusCode::INTERNAL_SERVER_ERROR, error.to_string()))?;
         let result = cluster.change(change).await;
-        let version = cluster.version();
+        let version = cluster.serving_version();
         let outcome = result.map_err(|error| {
             let what = format!("{}; it may still happen: repeat it with the same Idempotency-Key", error.0);
             ApiResponse::error(StatusCode::SERVICE_UNAVAILABLE, what).at_version(version)
@@ -99,7 +99,7 @@
         body: &[u8],
     ) -> Result<ApiResponse, ApiResponse> {
         let waited = match (header(request, "Fleet-Read"), header(request, "Fleet-At-Least")) {
-            (Some("latest"), _) => cluster.latest().await,
+            (Some("latest"), _) => cluster.wait_for_latest().await,
             (Some(other), _) => {
                 let what = format!("Fleet-Read is latest or left out, not {other}");
                 return Err(ApiResponse::bad_request(what));
@@ -108,11 +108,11 @@
                 let version = version.parse();
                 let version =
                     version.map_err(|_| ApiResponse::bad_request("Fleet-At-Least is not a version"))?;
-                cluster.at_least(version).await
+                cluster.wait_for_version(version).await
             }
-            (None, None) => Ok(cluster.version()),
+            (None, None) => Ok(cluster.serving_version()),
         };
-        let version = cluster.version();
+        let version = cluster.serving_version();
         let response = match (waited, resource) {
             (Err(error), _) => ApiResponse::error(StatusCode::SERVICE_UNAVAILABLE, error.0),
             (Ok(_), Resource::BanList) if request.method() == Method::GET => ban_list(cluster),
--- a/crates/sedgerun/src/command.rs
+++ b/crates/sedgerun/src/command.rs
@@ -171,7 +171,7 @@
     let settings = config.operator.fleet.as_ref().ok_or_else(missing)?;
     let name = config.name.as_str();
     let committed = |version: u64| format!("settled at version {version}\n");
-    let change = |command| client::make(settings, name, command).map(committed);
+    let change = |command| client::submit_change(settings, name, command).map(committed);
     let allow = |head: &String, allowed| change(StateCommand::AllowVoter { head: head.clone(), allowed });
     let result = match command {
         FleetCommand::Status { json } => client::status(settings, name, *json),
@@ -180,7 +180,7 @@
         FleetCommand::LostAfter { milliseconds } => change(StateCommand::SetDeadAfter(*milliseconds)),
         FleetCommand::Add { head } => allow(head, true),
         FleetCommand::Remove { head } => allow(head, false),
-        FleetCommand::Replace { head } => client::replace(settings, name, head).map(committed),
+        FleetCommand::Replace { head } => client::replace_voter(settings, name, head).map(committed),
         FleetCommand::Backup { file } => client::backup(settings, name, file),
         FleetCommand::Restore { file } => client::restore(settings, name, file),
         FleetCommand::Recover { lose_changes_after } => {
--- a/crates/sedgerun/src/management/mod.rs
+++ b/crates/sedgerun/src/management/mod.rs
@@ -196,7 +196,7 @@
             ("registry_entries", listed as u64),
             ("out_of_rotation", out_of_rotation as u64),
         ];
-        gauges.extend(self.dispatch.metrics.discovery.totals().named(DISCOVERY_TRAFFIC));
+        gauges.extend(self.dispatch.metrics.discovery.totals().as_metrics(DISCOVERY_TRAFFIC));
         gauges.extend(self.cluster.iter().flat_map(|cluster| cluster.metrics()));
         self.dispatch.metrics.render(&self.config.classes, &gauges)
     }
--- a/crates/sedgerun/src/replicated_state.rs
+++ b/crates/sedgerun/src/replicated_state.rs
@@ -23,7 +23,7 @@
     tenants: Rc<RefCell<TenantRegistry>>,
     dispatch: Rc<DispatchService>,
 ) {
-    let mut versions = cluster.versions();
+    let mut versions = cluster.watch_replicated_version();
     let mut in_force = InForce::default();
     loop {
         versions.borrow_and_update();
@@ -34,7 +34,7 @@
         }
         changes.apply_to_registry(&mut tenants.borrow_mut(), &config);
         in_force.note(changes);
-        cluster.set_in_force(version);
+        cluster.set_serving_version(version);
         if versions.changed().await.is_err() {
             return;
         }
--- a/crates/sedgerun/tests/faults.rs
+++ b/crates/sedgerun/tests/faults.rs
@@ -14,8 +14,12 @@
 use std::time::{Duration, Instant};
 
 /// Points at which a process ends itself, whichever head it is.
-const POINTS: [&str; 4] =
-    ["before the sync", "after the sync", "before the answer to a leader", "before the answer to a client"];
+const POINTS: [&str; 4] = [
+    "before the sync",
+    "after the sync",
+    "before the response to a leader",
+    "before the response to a client",
+];
 
 fn points(harness: &mut Harness, head: usize, points: &str) {
     harness.variables[head] = vec![("FAILPOINTS".to_owned(), points.to_owned())];
@@ -277,7 +281,7 @@
 #[test]
 fn a_snapshot_cut_in_the_middle_is_resumed_or_begun_anew() {
     let mut harness = Harness::laid(3, 3);
-    let small = "entries between snapshots=return(60);bytes of a piece=return(900)";
+    let small = "entries between snapshots=return(60);snapshot chunk bytes=return(900)";
     (0..3).for_each(|head| points(&mut harness, head, small));
     harness.begin();
     let leader = harness.leader(&[0, 1, 2]);
@@ -308,7 +312,7 @@
     assert_eq!(exports(harness.api(late), "horvat").len(), 200);
     // And once more at the point after it is written and before it is applied.
     harness.lose(late);
-    points(&mut harness, late, &format!("{small};after a snapshot is taken over=1*return"));
+    points(&mut harness, late, &format!("{small};after a snapshot is installed=1*return"));
     harness.up(late);
     thread::sleep(Duration::from_millis(1500));
     points(&mut harness, late, small);
--- a/crates/sedgerun/tests/frozen_settings.rs
+++ b/crates/sedgerun/tests/frozen_settings.rs
@@ -251,7 +251,7 @@
     };
     assert_eq!(fleet, expected);
     assert_eq!(fleet.role(), FollowerRole::Head);
-    assert_eq!((fleet.max_callers(true), fleet.max_callers(false)), (150, 128));
+    assert_eq!((fleet.max_peer_connections(true), fleet.max_peer_connections(false)), (150, 128));
 }
 
 #[test]
--- a/crates/sedgerun/tests/old_head/mod.rs
+++ b/crates/sedgerun/tests/old_head/mod.rs
@@ -1,7 +1,7 @@
 //! Stand-ins for heads of the version before subscriptions and relays: they know the calls up to `Propose` alone, and
 //! end the connection over any other.
 
-use sedgerun_cluster::types::{PeerResponse, UpdateRequest};
+use sedgerun_cluster::types::{LegacyPollRequest, PeerResponse};
 use sedgerun_replication::follow::{Downstream, Peer, UpdateReply, Voters};
 use sedgerun_replication::greeting::{Greeting, Refusal};
 use sedgerun_replication::record::{self, RecordType};
@@ -82,10 +82,10 @@
             incarnation: 1,
         };
         let request =
-            UpdateRequest { follower, subtree: Some(vec![]), since, first_version: 0, wait_ms: 1000 };
+            LegacyPollRequest { follower, subtree: Some(vec![]), since, first_version: 0, wait_ms: 1000 };
         send(&mut self.stream, RecordType::Call, &(FOLLOW, request)).expect("a call");
         match receive(&mut self.stream, RecordType::Reply) {
-            Some(PeerResponse::Update(_, reply)) => reply,
+            Some(PeerResponse::LegacyUpdate(_, reply)) => reply,
             other => panic!("{other:?}"),
         }
     }
@@ -161,7 +161,7 @@
             held.lock().expect("what it holds").unknown += u64::from(number > 10);
             return None;
         }
-        let (_, request): (u8, UpdateRequest) = record::open(RecordType::Call, &call).ok()?;
+        let (_, request): (u8, LegacyPollRequest) = record::open(RecordType::Call, &call).ok()?;
         let chunk = {
             let mut held = held.lock().expect("what it holds");
             held.polls += 1;
@@ -174,6 +174,6 @@
         let by_store = BTreeMap::from([(7, Peer { head: own.head.clone(), address: own.address.clone() })]);
         let voters = Voters { log_index: 1, by_store };
         let reply = UpdateReply::Chunk { chunk, path: vec![own.head.clone()], age: 0, leader, voters };
-        send(&mut stream, RecordType::Reply, &PeerResponse::Update(Some(ORIGIN), reply))?;
+        send(&mut stream, RecordType::Reply, &PeerResponse::LegacyUpdate(Some(ORIGIN), reply))?;
     }
 }
--- a/crates/testbed/src/cluster_simulator/client.rs
+++ b/crates/testbed/src/cluster_simulator/client.rs
@@ -45,7 +45,7 @@
 
     async fn read(&self, node: &NodeClient) {
         let (newest, exports) = self.auditor.borrow().acknowledged_now();
-        let seen = if self.reads_stale { Ok(node.view()) } else { node.latest().await };
+        let seen = if self.reads_stale { Ok(node.view()) } else { node.read_latest().await };
         match seen {
             Ok(view) => self.auditor.borrow_mut().settled_read(newest, exports, &view),
             Err(_) => self.auditor.borrow_mut().rejected += 1,
--- a/crates/testbed/src/cluster_simulator/heads.rs
+++ b/crates/testbed/src/cluster_simulator/heads.rs
@@ -147,20 +147,20 @@
         let mut is_complete = false;
         for (head, node) in self.heads.iter().filter_map(|head| Some((head, head.node.as_ref()?))) {
             let status = node.status();
-            if !head.is_restored && status.trouble.as_ref().is_some_and(|what| what.contains("older copy")) {
+            if !head.is_restored && status.fault.as_ref().is_some_and(|what| what.contains("older copy")) {
                 auditor.broke(format!("{} is taken for an older copy, and is none", status.head));
             }
             // An older copy of a disk shows its old state until it is detected.
             if !head.is_restored {
                 auditor.observe_version(status.store, status.incarnation, status.version);
             }
-            if let Some(term) = node.leads_in() {
+            if let Some(term) = node.leading_term() {
                 auditor.observe_leader(term, status.store);
                 let is_current = |voter: &sedgerun_cluster::types::VoterStatus| {
                     let up = self.heads.iter().filter_map(|head| head.node.as_ref());
                     voter.votes
-                        && voter.matched == Some(status.last)
-                        && up.into_iter().any(|n| n.store() == voter.store)
+                        && voter.matched_index == Some(status.last_index)
+                        && up.into_iter().any(|n| n.store_id() == voter.store)
                 };
                 is_complete |= status.voters.len() == self.voters && status.voters.iter().all(is_current);
             }
@@ -173,7 +173,7 @@
         self.heads[head].incoming = None;
         // Dropped, it does nothing more; what it had not written is never written.
         if let Some(node) = self.heads[head].node.take() {
-            node.end();
+            node.stop();
         }
     }
 
@@ -205,7 +205,7 @@
     /// A head is lost with its disk; it is to be started with an empty one.
     fn lose_disk(&mut self, head: usize) -> usize {
         self.is_repairing = true;
-        let store = self.heads[head].node.as_ref().map(Node::store);
+        let store = self.heads[head].node.as_ref().map(Node::store_id);
         self.heads[head].disk.kill();
         self.down(head);
         let lies = self.bug == Some(InjectedBug::LyingDisk);
@@ -245,7 +245,7 @@
     pub fn heal(&mut self) -> Vec<usize> {
         self.network.heal();
         for head in 0..self.heads.len() {
-            let old = |node: &Node| node.status().trouble.is_some_and(|what| what.contains("older copy"));
+            let old = |node: &Node| node.status().fault.is_some_and(|what| what.contains("older copy"));
             if self.heads[head].node.as_ref().is_some_and(old) {
                 self.heads[head].disk.kill();
                 self.down(head);
@@ -262,7 +262,7 @@
         for (head, node) in nodes.iter().enumerate() {
             let status = node.status();
             // Detected late: it does not take part, and an operator wipes it.
-            if status.trouble.as_ref().is_some_and(|what| what.contains("older copy")) {
+            if status.fault.as_ref().is_some_and(|what| what.contains("older copy")) {
                 continue;
             }
             let missing = node.read(|view| auditor.missing(view));
@@ -276,7 +276,8 @@
                 ));
             }
         }
-        let leader = nodes.iter().filter(|node| node.leads_in().is_some()).max_by_key(|node| node.leads_in());
+        let leader =
+            nodes.iter().filter(|node| node.leading_term().is_some()).max_by_key(|node| node.leading_term());
         let Some(leader) = leader.map(|leader| leader.status()) else {
             return Some("nobody leads in the end".to_owned());
         };
--- a/crates/testbed/src/scale/discovery/server.rs
+++ b/crates/testbed/src/scale/discovery/server.rs
@@ -4,7 +4,7 @@
 use super::traffic::{Admitted, Peers, Report};
 use crate::http::HttpConnection;
 use bytes::{Buf, Bytes};
-use sedgerun_cluster::traffic::Counted;
+use sedgerun_cluster::traffic::CountedStream;
 use std::cell::{Cell, RefCell};
 use std::io;
 use std::rc::Rc;
@@ -197,7 +197,7 @@
     async fn serve(&self, stream: TcpStream, admitted: &Admitted) -> io::Result<()> {
         stream.set_nodelay(true)?;
         let traffic = &admitted.traffic;
-        let mut wire = HttpConnection::over(Counted::new(stream, Arc::clone(traffic)));
+        let mut wire = HttpConnection::over(CountedStream::new(stream, Arc::clone(traffic)));
         while let Some(request) = wire.read(false).await? {
             traffic.add_message_received();
             self.calls.set(self.calls.get() + 1);
@@ -233,7 +233,7 @@
     }
 }
 
-async fn write(wire: &mut HttpConnection<Counted<TcpStream>>, answer: Answer) -> io::Result<()> {
+async fn write(wire: &mut HttpConnection<CountedStream<TcpStream>>, answer: Answer) -> io::Result<()> {
     match answer {
         Answer::List(body) => {
             let head = format!(
--- a/crates/testbed/src/scale/hollow.rs
+++ b/crates/testbed/src/scale/hollow.rs
@@ -100,7 +100,7 @@
         self.tasks.iter().for_each(AbortHandle::abort);
         // Where the process ends there is no runtime left in which a node could end by itself.
         if let Some(node) = self.node.take().filter(|_| Handle::try_current().is_ok()) {
-            node.end();
+            node.stop();
         }
     }
 }
@@ -193,7 +193,7 @@
 
     /// Notes when it comes to act on versions, once it is ready: what it lacks at its start is not overdue.
     async fn watch_versions(self: Rc<Self>, fleet: Rc<ClusterHandle>) {
-        let mut versions = fleet.in_force();
+        let mut versions = fleet.watch_serving_version();
         let mut last = *versions.borrow_and_update();
         while versions.changed().await.is_ok() {
             let version = *versions.borrow_and_update();
@@ -238,10 +238,10 @@
         let status = running.fleet.status();
         Some(HeadReport {
             name: self.name.clone(),
-            version: running.fleet.version(),
+            version: running.fleet.serving_version(),
             depth: status.depth(),
             followers: status.followers.len() as u64,
-            age_ms: status.age,
+            age_ms: status.age_ms,
             backends: running.dispatch.rotation().0 as u64,
             fleet: running.fleet.traffic(),
             discovery: running.dispatch.metrics.discovery.totals(),
@@ -255,7 +255,7 @@
     /// Payload received, where the head is ready.
     fn ready(&self, when: ReadyWhen) -> Option<u64> {
         let holds_list = self.dispatch.rotation().0 as u64 >= when.backends;
-        let holds_version = self.fleet.version() >= when.version;
+        let holds_version = self.fleet.serving_version() >= when.version;
         let received =
             self.fleet.traffic().bytes_received + self.dispatch.metrics.discovery.totals().bytes_received;
         (holds_list && holds_version).then_some(received)
--- a/crates/testbed/src/scale/real_heads.rs
+++ b/crates/testbed/src/scale/real_heads.rs
@@ -64,7 +64,7 @@
 
     /// Payload in both directions, bytes.
     pub fn payload(&self) -> u64 {
-        self.fleet.payload() + self.discovery.payload()
+        self.fleet.total_bytes() + self.discovery.total_bytes()
     }
 }
 
