--- a/crates/dispatch/src/backend_overrides.rs
+++ b/crates/dispatch/src/backend_overrides.rs
@@ -41,12 +41,12 @@
     }
 
     /// The number of backends on the list.
-    pub fn listed(&self) -> usize {
+    pub fn listed_count(&self) -> usize {
         self.listed.len()
     }
 
     /// The number of backends on the list that are disabled.
-    pub fn out_of_rotation(&self) -> usize {
+    pub fn out_of_rotation_count(&self) -> usize {
         let disabled = self.disabled_by_head.union(&self.disabled_by_cluster);
         disabled.filter(|backend| self.listed.contains_key(backend)).count()
     }
--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -1,10 +1,10 @@
-//! The dispatcher: open requests, their attempts and timers round the [`Controller`]. It owns the controller and
-//! all of that state; it knows no wire, so that jobs and responses are opaque to it.
+//! The dispatcher: tracks open requests, their attempts and their timers, and applies the decisions of the
+//! [`Controller`]. It has no knowledge of wire formats: request payloads and responses are opaque to it.
 //!
-//! Whatever the controller decides, a request gets one final answer, in time, and has at most one attempt in
-//! flight.
+//! Whatever the controller decides, the dispatcher guarantees that each request gets exactly one final response
+//! before its deadline and has at most one attempt in flight.
 
-use crate::effect::{Effect, FinalAnswer};
+use crate::effect::{Effect, FinalResponse};
 use crate::request::{AttemptInFlight, AttemptResult, OpenRequest, RequestSpec};
 use crate::timers::{TimerKind, TimerQueue};
 use sedgerun_policy::Controller;
@@ -14,28 +14,30 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
-/// Time before a client's deadline by which its answer must be on its way (us): a few turns of the program on a
-/// busy core. The controller is given a deadline that much earlier, so that the final answer is its own.
-const ANSWER_MARGIN: Micros = 12_000;
+/// How long before a request's deadline the controller must have decided, in microseconds. This leaves time for a
+/// few turns of the event loop on a busy core, so that the final response comes from the controller and not from
+/// the dispatcher's deadline timer, which expires half this margin before the deadline.
+const RESPONSE_MARGIN: Micros = 12_000;
 
-/// The dispatcher of one head; `J` is the job that is sent, `R` the response that comes back.
+/// The dispatcher of one head. `P` is the payload that is sent to a backend, `R` the backend's response.
 #[derive(Debug)]
-pub struct Dispatcher<J, R> {
+pub struct Dispatcher<P, R> {
     controller: Controller,
-    requests: BTreeMap<RequestId, OpenRequest<J>>,
+    requests: BTreeMap<RequestId, OpenRequest<P>>,
     attempts: BTreeMap<(RequestId, u8), AttemptInFlight>,
     timers: TimerQueue,
     next_request: RequestId,
     max_open_requests: usize,
-    /// The time by which all requests are answered, however long their clients would wait.
-    final_deadline: Micros,
-    /// The latest time that any call brought.
+    /// The latest time for the final response to any request submitted from now on; [`Micros::MAX`] until
+    /// [`Dispatcher::set_shutdown_deadline`] is called.
+    shutdown_deadline: Micros,
+    /// The latest time passed to any method. Time never goes backwards for the controller.
     now: Micros,
-    effects: VecDeque<Effect<J, R>>,
+    effects: VecDeque<Effect<P, R>>,
 }
 
-impl<J, R> Dispatcher<J, R> {
-    /// A dispatcher round a fresh controller, with a bound on the number of open requests.
+impl<P, R> Dispatcher<P, R> {
+    /// Creates a dispatcher with a new controller that accepts at most `max_open_requests` requests at a time.
     pub fn new(settings: Settings, seed: u64, max_open_requests: usize) -> Self {
         Dispatcher {
             controller: Controller::new(settings, seed),
@@ -44,84 +46,85 @@
             timers: TimerQueue::default(),
             next_request: 0,
             max_open_requests,
-            final_deadline: Micros::MAX,
+            shutdown_deadline: Micros::MAX,
             now: 0,
             effects: VecDeque::new(),
         }
     }
 
-    /// The next effect to carry out.
-    pub fn next_effect(&mut self) -> Option<Effect<J, R>> {
+    /// Removes and returns the next effect to carry out.
+    pub fn next_effect(&mut self) -> Option<Effect<P, R>> {
         self.effects.pop_front()
     }
 
-    /// When [`Dispatcher::run_due_timers`] is to be called next.
+    /// The time at which [`Dispatcher::run_expired_timers`] must be called next; `None` if no timer is set.
     pub fn next_timer(&self) -> Option<Micros> {
-        self.timers.next_at()
+        self.timers.next_expiry()
     }
 
-    /// The number of requests without a final answer.
+    /// The number of requests without a final response.
     pub fn open_requests(&self) -> usize {
         self.requests.len()
     }
 
-    /// Whether an attempt is in flight at a backend.
+    /// Whether any attempt is in flight at a backend.
     pub fn has_attempt_at(&self, backend: BackendId) -> bool {
         self.attempts.values().any(|attempt| attempt.backend == backend)
     }
 
-    /// From now on requests are answered by this time, however long their clients would wait. The controller is
-    /// not notified: it would take them for retries with little time left.
-    pub fn set_final_deadline(&mut self, at: Micros) {
-        self.final_deadline = at;
+    /// Requests submitted from now on get their final response by this time, even if their own deadline is later.
+    /// The controller still sees the client's deadline: with a shorter one it would take new requests for retries
+    /// that have little time left.
+    pub fn set_shutdown_deadline(&mut self, at: Micros) {
+        self.shutdown_deadline = at;
     }
 
-    /// Takes a request; `None` where as many are open as may be.
-    pub fn submit(&mut self, now: Micros, spec: RequestSpec, job: J) -> Option<RequestId> {
+    /// Accepts a request; returns `None` if the maximum number of requests is already open.
+    pub fn submit(&mut self, now: Micros, spec: RequestSpec, payload: P) -> Option<RequestId> {
         if self.requests.len() >= self.max_open_requests {
             return None;
         }
         let id = self.next_request;
         self.next_request = self.next_request.wrapping_add(1);
-        let answer_deadline = spec.deadline.min(self.final_deadline);
-        let decision_deadline = answer_deadline.saturating_sub(ANSWER_MARGIN);
-        let last_moment = answer_deadline.saturating_sub(ANSWER_MARGIN / 2);
-        self.requests.insert(id, OpenRequest::new(job, decision_deadline));
-        self.timers.set(last_moment, TimerKind::RequestDeadline(id));
-        // By the client's own deadline alone: see `set_final_deadline`.
-        let controller_deadline = spec.deadline.saturating_sub(ANSWER_MARGIN);
-        self.handle(now, Event::Request(spec.into_request(id, controller_deadline)));
+        let response_deadline = spec.deadline.min(self.shutdown_deadline);
+        let decision_deadline = response_deadline.saturating_sub(RESPONSE_MARGIN);
+        let timer_expiry = response_deadline.saturating_sub(RESPONSE_MARGIN / 2);
+        self.requests.insert(id, OpenRequest::new(payload, decision_deadline));
+        self.timers.set(timer_expiry, TimerKind::RequestDeadline(id));
+        // Computed from the client's deadline alone: see `set_shutdown_deadline`.
+        let controller_deadline = spec.deadline.saturating_sub(RESPONSE_MARGIN);
+        self.handle_event(now, Event::Request(spec.into_request(id, controller_deadline)));
         Some(id)
     }
 
-    /// The client of a request has disconnected: nobody waits for an answer. An attempt in flight runs on.
+    /// Drops a request whose client has disconnected, without a final response. An attempt in flight continues.
     pub fn client_disconnected(&mut self, now: Micros, id: RequestId) {
         if self.requests.remove(&id).is_some() {
-            self.handle(now, Event::RequestEnded { id });
+            self.handle_event(now, Event::RequestEnded { id });
         }
     }
 
-    /// The client of a request has cancelled it, and still waits for an answer: no attempt begins any more. One in
-    /// flight may have run, and its response is passed on.
+    /// Cancels a request for a client that still expects a final response. No further attempt starts. The backend
+    /// may already have executed an attempt in flight, so its response is still passed on.
     pub fn cancel(&mut self, now: Micros, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.is_cancelled = true;
         self.end_if_cancelled(now, id);
     }
 
-    /// An attempt ended. The end of one that was already abandoned is ignored.
+    /// Records the end of an attempt. Ignored if the attempt was already abandoned.
     pub fn attempt_ended(&mut self, now: Micros, id: RequestId, attempt: u8, result: AttemptResult<R>) {
         let Some(in_flight) = self.attempts.remove(&(id, attempt)) else { return };
         let AttemptResult { end, response, volume_usage, units_elsewhere } = result;
-        // A backend that says it served and gives nothing to pass on has not served.
+        // A success without a response to pass on counts as an error.
         let end = if end == AttemptEnd::Ok && response.is_none() { AttemptEnd::Error } else { end };
         if let Some(request) = self.requests.get_mut(&id) {
             request.attempt_in_flight = request.attempt_in_flight.filter(|other| *other != attempt);
         }
-        // Guards against losing requests: only a served one ends with its attempt. All others stay open until
-        // the controller decides what becomes of them.
+        // Only a successful attempt ends its request here. After any other end the request stays open until the
+        // controller retries, rejects or fails it, so that no request is lost.
         if let (AttemptEnd::Ok, Some(response)) = (end, response) {
-            self.finish(id, FinalAnswer::Served(response));
+            self.respond(id, FinalResponse::Served(response));
         }
         let outcome = AttemptOutcome {
             id,
@@ -133,20 +136,20 @@
             volume_usage,
             units_elsewhere,
         };
-        self.handle(now, Event::AttemptEnded(outcome));
+        self.handle_event(now, Event::AttemptEnded(outcome));
         self.end_if_cancelled(now, id);
     }
 
-    /// An update of the endpoint list.
+    /// Passes an update of the endpoint list to the controller.
     pub fn update_endpoints(&mut self, now: Micros, scope: UpdateScope, endpoints: Vec<Endpoint>) {
-        self.handle(now, Event::EndpointList { scope, endpoints });
+        self.handle_event(now, Event::EndpointList { scope, endpoints });
     }
 
-    /// Runs the timers that have expired by now.
-    pub fn run_due_timers(&mut self, now: Micros) {
+    /// Runs the timers that have expired by `now`.
+    pub fn run_expired_timers(&mut self, now: Micros) {
         while let Some(kind) = self.timers.pop_expired(now) {
             match kind {
-                TimerKind::Controller(token) => self.handle(now, Event::Timer { token }),
+                TimerKind::Controller(token) => self.handle_event(now, Event::Timer { token }),
                 TimerKind::AttemptTimeout(id, attempt) => {
                     self.abandon_attempt(now, id, attempt, AttemptEnd::Timeout);
                 }
@@ -155,58 +158,57 @@
         }
     }
 
-    /// Ends a request at its last moment.
+    /// Ends a request whose deadline timer has expired, if it is still open.
     fn end_at_deadline(&mut self, now: Micros, id: RequestId) {
         if let Some(attempt) = self.requests.get(&id).and_then(|request| request.attempt_in_flight) {
             self.abandon_attempt(now, id, attempt, AttemptEnd::Timeout);
         }
-        // Guards against a request that the controller queues past its deadline: a client is never left without
-        // an answer.
-        self.end_without_response(now, id);
+        // The controller may still hold the request in its queue; the client must get a response in time anyway.
+        self.end_unserved(now, id);
     }
 
-    /// Ends a request that its client has cancelled, once none of its attempts is in flight.
+    /// Ends a request that its client has cancelled, unless an attempt is still in flight.
     fn end_if_cancelled(&mut self, now: Micros, id: RequestId) {
         let request = self.requests.get(&id);
         if request.is_some_and(|request| request.is_cancelled && request.attempt_in_flight.is_none()) {
-            self.end_without_response(now, id);
+            self.end_unserved(now, id);
         }
     }
 
-    /// Answers a request, if it is still open, and notifies the controller that it is over.
-    fn end_without_response(&mut self, now: Micros, id: RequestId) {
+    /// Ends an open request that no backend has served: emits its final response and notifies the controller.
+    fn end_unserved(&mut self, now: Micros, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
-        let answer = request.answer_without_response();
-        self.finish(id, answer);
-        self.handle(now, Event::RequestEnded { id });
+        let response = request.unserved_response();
+        self.respond(id, response);
+        self.handle_event(now, Event::RequestEnded { id });
     }
 
-    /// Ends an attempt from this side: it is cancelled, and the controller is notified of its end.
+    /// Cancels an attempt in flight and reports its end to the controller.
     fn abandon_attempt(&mut self, now: Micros, id: RequestId, attempt: u8, end: AttemptEnd) {
         if self.attempts.contains_key(&(id, attempt)) {
             self.effects.push_back(Effect::Cancel { id, attempt });
-            self.attempt_ended(now, id, attempt, AttemptResult::bare(end));
+            self.attempt_ended(now, id, attempt, AttemptResult::without_response(end));
         }
     }
 
-    /// Gives the final answer, once.
-    fn finish(&mut self, id: RequestId, answer: FinalAnswer<R>) {
+    /// Closes a request and emits its final response; does nothing if it is closed already.
+    fn respond(&mut self, id: RequestId, response: FinalResponse<R>) {
         if self.requests.remove(&id).is_some() {
-            self.effects.push_back(Effect::Final { id, answer });
+            self.effects.push_back(Effect::Respond { id, response });
         }
     }
 
-    /// Passes an event to the controller and carries out its actions.
-    fn handle(&mut self, now: Micros, event: Event) {
+    /// Passes an event to the controller and carries out the resulting actions.
+    fn handle_event(&mut self, now: Micros, event: Event) {
         self.now = self.now.max(now);
         let now = self.now;
         let mut actions = Vec::new();
         self.controller.handle(now, event, &mut actions);
         for action in actions {
             match action {
-                Action::Send { id, backend, until } => self.send(now, id, backend, until),
-                Action::Reject { id, retry_after } => self.finish(id, FinalAnswer::Rejected(retry_after)),
-                Action::Fail { id } => self.finish(id, FinalAnswer::Failed),
+                Action::Send { id, backend, until } => self.start_attempt(now, id, backend, until),
+                Action::Reject { id, retry_after } => self.respond(id, FinalResponse::Rejected(retry_after)),
+                Action::Fail { id } => self.respond(id, FinalResponse::Failed),
                 Action::Cancel { id, attempt } => {
                     self.abandon_attempt(now, id, attempt, AttemptEnd::Cancelled);
                 }
@@ -217,22 +219,27 @@
         }
     }
 
-    /// Begins an attempt, if the request is still open.
-    fn send(&mut self, now: Micros, id: RequestId, backend: BackendId, until: Micros) {
+    /// Starts an attempt that times out at `deadline`, if the request is still open.
+    fn start_attempt(&mut self, now: Micros, id: RequestId, backend: BackendId, deadline: Micros) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let may_send = request.may_send();
-        let attempt = request.begin_attempt();
+        let attempt = request.next_attempt_number();
         self.attempts.insert((id, attempt), AttemptInFlight { backend, sent_at: now });
         if !may_send {
-            // Guards against two attempts at once: the second never leaves. And against one for a client that has
-            // cancelled its request.
-            self.attempt_ended(now, id, attempt, AttemptResult::bare(AttemptEnd::CancelledUnsent));
+            // At most one attempt may be in flight, and none starts for a cancelled request. The controller has
+            // asked for this attempt, so it is told that the attempt ended unsent.
+            self.attempt_ended(
+                now,
+                id,
+                attempt,
+                AttemptResult::without_response(AttemptEnd::CancelledUnsent),
+            );
             return;
         }
         request.attempt_in_flight = Some(attempt);
-        let until = until.min(request.decision_deadline);
-        let job = Rc::clone(&request.job);
-        self.timers.set(until, TimerKind::AttemptTimeout(id, attempt));
-        self.effects.push_back(Effect::Send { id, attempt, backend, until, job });
+        let deadline = deadline.min(request.decision_deadline);
+        let payload = Rc::clone(&request.payload);
+        self.timers.set(deadline, TimerKind::AttemptTimeout(id, attempt));
+        self.effects.push_back(Effect::Send { id, attempt, backend, deadline, payload });
     }
 }
--- a/crates/dispatch/src/effect.rs
+++ b/crates/dispatch/src/effect.rs
@@ -1,48 +1,50 @@
-//! What comes out of the dispatcher: effects that its owner carries out, in their order.
+//! The output of the dispatcher: effects that its owner must carry out in order.
 
 use sedgerun_policy::{BackendId, Micros, RequestId};
 use std::rc::Rc;
 
-/// The final answer of a request.
+/// The final response to a request.
 #[derive(Clone, Debug, PartialEq)]
-pub enum FinalAnswer<R> {
-    /// Served, with the backend's response.
+pub enum FinalResponse<R> {
+    /// The backend's response.
     Served(R),
-    /// Rejected: no attempt has run, so a retry is safe, after this long (us).
+    /// No attempt has executed the request, so that a retry is safe. The value is the time that the client should
+    /// wait before the retry, in microseconds; 0: none is given.
     Rejected(Micros),
-    /// Failed: an attempt may have run; nothing is promised.
+    /// An attempt may have executed the request; its result is unknown.
     Failed,
 }
 
-/// What the dispatcher wants done; `J` is the job that is sent, `R` the response that comes back.
+/// An operation that the dispatcher requests from its owner. `P` is the payload that is sent to a backend, `R` the
+/// backend's response.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Effect<J, R> {
-    /// Begin an attempt.
+pub enum Effect<P, R> {
+    /// Start an attempt.
     Send {
         /// The request.
         id: RequestId,
-        /// The attempt's number, from 0.
+        /// The number of the attempt within its request, from 0.
         attempt: u8,
-        /// Where to.
+        /// The backend to send it to.
         backend: BackendId,
-        /// When it times out.
-        until: Micros,
-        /// What to send.
-        job: Rc<J>,
+        /// When the attempt times out.
+        deadline: Micros,
+        /// The payload to send.
+        payload: Rc<P>,
     },
-    /// Abandon an attempt; its end is already counted.
+    /// Abandon an attempt. The dispatcher has already recorded its end and ignores any later result.
     Cancel {
         /// The request.
         id: RequestId,
-        /// The attempt's number.
+        /// The number of the attempt.
         attempt: u8,
     },
-    /// The one final answer of a request.
-    Final {
+    /// Give the client its final response. Emitted at most once for each request.
+    Respond {
         /// The request.
         id: RequestId,
-        /// The answer.
-        answer: FinalAnswer<R>,
+        /// The final response.
+        response: FinalResponse<R>,
     },
     /// Subscribe to changes of the endpoint list.
     Watch,
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -14,6 +14,6 @@
 
 pub use backend_overrides::{BackendOverrides, OverrideError};
 pub use dispatcher::Dispatcher;
-pub use effect::{Effect, FinalAnswer};
+pub use effect::{Effect, FinalResponse};
 pub use operator_command::{MAX_COMMAND_BYTES, OperatorCommand, OperatorCommandError};
 pub use request::{AttemptResult, RequestSpec};
--- a/crates/dispatch/src/operator_command.rs
+++ b/crates/dispatch/src/operator_command.rs
@@ -20,9 +20,9 @@
     /// Put a backend back into rotation at this head.
     Enable(String),
     /// Take a backend out of rotation at all heads of the cluster.
-    FleetDisable(String),
+    ClusterDisable(String),
     /// Put a backend back into rotation at all heads of the cluster.
-    FleetEnable(String),
+    ClusterEnable(String),
     /// Send clients to other heads.
     Drain,
     /// Take clients again.
@@ -71,8 +71,8 @@
             "resume" => OperatorCommand::Resume,
             "disable-server" => OperatorCommand::Disable(parse_backend_id(verb, words.next())?),
             "enable-server" => OperatorCommand::Enable(parse_backend_id(verb, words.next())?),
-            "fleet-disable-server" => OperatorCommand::FleetDisable(parse_backend_id(verb, words.next())?),
-            "fleet-enable-server" => OperatorCommand::FleetEnable(parse_backend_id(verb, words.next())?),
+            "fleet-disable-server" => OperatorCommand::ClusterDisable(parse_backend_id(verb, words.next())?),
+            "fleet-enable-server" => OperatorCommand::ClusterEnable(parse_backend_id(verb, words.next())?),
             unknown => {
                 let beginning = unknown.chars().take(MAX_QUOTED_CHARS).collect();
                 return Err(OperatorCommandError::UnknownCommand(beginning));
--- a/crates/dispatch/src/request.rs
+++ b/crates/dispatch/src/request.rs
@@ -1,105 +1,105 @@
-//! Requests and attempts: what a frontend submits, what a backend reports, and what the dispatcher remembers of
-//! either while it is open.
+//! Requests and attempts: what a frontend submits, what a backend connection reports, and the dispatcher's state
+//! of each while it is open.
 
-use crate::effect::FinalAnswer;
+use crate::effect::FinalResponse;
 use sedgerun_policy::{AttemptEnd, BackendId, Micros, Request, RequestId};
 use std::rc::Rc;
 
-/// What a frontend asks for. The dispatcher gives it a [`RequestId`] of its own.
+/// A request as a frontend submits it. The dispatcher assigns its [`RequestId`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestSpec {
     /// Index of the request class in the settings.
     pub class: usize,
     /// Index of the service plan in the settings.
     pub plan: usize,
-    /// The item of data that the request is about; 0: none.
+    /// Identifies the object that the request operates on; 0: none.
     pub key: u64,
-    /// When the client gives up, in microseconds of the caller's clock.
+    /// When the client stops waiting for a response, in microseconds of the caller's clock.
     pub deadline: Micros,
     /// The volume that the request is charged to.
     pub volume: u64,
     /// The size, in units of quota.
     pub units: f64,
-    /// The shard that holds the data; none: any.
+    /// The shard that holds the data; `None`: any shard.
     pub shard: Option<u32>,
     /// The number of heads through which the volume's requests come.
     pub volume_heads: f64,
 }
 
 impl RequestSpec {
-    /// The request as the controller takes it, with the deadline by which its answer must have been decided.
+    /// Converts to the controller's request type, with the deadline by which the controller must have decided.
     pub(crate) fn into_request(self, id: RequestId, deadline: Micros) -> Request {
         let RequestSpec { class, plan, key, volume, units, shard, volume_heads, .. } = self;
         Request { id, class, plan, key, deadline, volume, units, shard, volume_heads }
     }
 }
 
-/// How an attempt ended, as its backend connection saw it.
+/// The result of an attempt, as the connection to the backend reports it.
 #[derive(Clone, Debug)]
 pub struct AttemptResult<R> {
-    /// How it ended.
+    /// How the attempt ended.
     pub end: AttemptEnd,
-    /// The response to pass on, where there is one.
+    /// The response to pass on, if there is one.
     pub response: Option<R>,
-    /// The volume's load at all heads, as a multiple of its plan's rate, where the backend reported it.
+    /// The volume's load at all heads, as a multiple of its plan's rate; `None` if the backend did not report it.
     pub volume_usage: Option<f64>,
-    /// Units that the backend served the volume through other heads.
+    /// Units that the backend has served this volume for requests that came through other heads.
     pub units_elsewhere: f64,
 }
 
 impl<R> AttemptResult<R> {
     /// A result without a response and without a load report.
-    pub fn bare(end: AttemptEnd) -> AttemptResult<R> {
+    pub fn without_response(end: AttemptEnd) -> AttemptResult<R> {
         AttemptResult { end, response: None, volume_usage: None, units_elsewhere: 0.0 }
     }
 }
 
-/// A request without a final answer.
+/// A request without a final response.
 #[derive(Debug)]
-pub(crate) struct OpenRequest<J> {
-    pub job: Rc<J>,
-    /// When the controller is to have decided, and the latest deadline of any attempt.
+pub(crate) struct OpenRequest<P> {
+    pub payload: Rc<P>,
+    /// When the controller must have decided; no attempt's timeout is later.
     pub decision_deadline: Micros,
-    /// Attempts begun so far; also the number of the next one.
-    pub attempts_begun: u8,
-    /// The attempt that is in flight, one at most.
+    /// The number of attempts started so far.
+    pub attempts_started: u8,
+    /// The attempt in flight; there is at most one.
     pub attempt_in_flight: Option<u8>,
-    /// Its client has cancelled it, and still waits for an answer.
+    /// The client has cancelled the request and still expects a final response.
     pub is_cancelled: bool,
 }
 
-impl<J> OpenRequest<J> {
-    pub fn new(job: J, decision_deadline: Micros) -> Self {
-        let job = Rc::new(job);
+impl<P> OpenRequest<P> {
+    pub fn new(payload: P, decision_deadline: Micros) -> Self {
+        let payload = Rc::new(payload);
         OpenRequest {
-            job,
+            payload,
             decision_deadline,
-            attempts_begun: 0,
+            attempts_started: 0,
             attempt_in_flight: None,
             is_cancelled: false,
         }
     }
 
-    /// The number of the next attempt, which is counted as begun.
-    pub fn begin_attempt(&mut self) -> u8 {
-        let attempt = self.attempts_begun;
-        self.attempts_begun = self.attempts_begun.saturating_add(1);
+    /// Returns the number of the next attempt and counts that attempt as started.
+    pub fn next_attempt_number(&mut self) -> u8 {
+        let attempt = self.attempts_started;
+        self.attempts_started = self.attempts_started.saturating_add(1);
         attempt
     }
 
-    /// Whether a further attempt may leave: none is in flight, and the client still wants one.
+    /// Whether another attempt may be sent: none is in flight, and the client has not cancelled the request.
     pub fn may_send(&self) -> bool {
         self.attempt_in_flight.is_none() && !self.is_cancelled
     }
 
-    /// The final answer of a request that got no response: a rejection is safe to retry, so it is given only
-    /// where no attempt was ever begun.
-    pub fn answer_without_response<R>(&self) -> FinalAnswer<R> {
-        if self.attempts_begun == 0 { FinalAnswer::Rejected(0) } else { FinalAnswer::Failed }
+    /// The final response for a request that no backend has served. A rejection tells the client that a retry is
+    /// safe, so it is given only if no attempt has started.
+    pub fn unserved_response<R>(&self) -> FinalResponse<R> {
+        if self.attempts_started == 0 { FinalResponse::Rejected(0) } else { FinalResponse::Failed }
     }
 }
 
-/// An attempt whose end has not been counted.
+/// An attempt whose end has not been recorded yet.
 #[derive(Debug)]
 pub(crate) struct AttemptInFlight {
     pub backend: BackendId,
--- a/crates/dispatch/tests/backend_overrides.rs
+++ b/crates/dispatch/tests/backend_overrides.rs
@@ -18,8 +18,8 @@
     assert_eq!(shown, vec![entry(1, Readiness::Draining), entry(2, Readiness::Ready)]);
     let shown = overrides.filter(UpdateScope::Delta, vec![entry(1, Readiness::Ready)]);
     assert_eq!(shown, vec![entry(1, Readiness::Draining)]);
-    assert_eq!(overrides.out_of_rotation(), 1);
-    assert_eq!(overrides.listed(), 2);
+    assert_eq!(overrides.out_of_rotation_count(), 1);
+    assert_eq!(overrides.listed_count(), 2);
 }
 
 #[test]
@@ -56,7 +56,7 @@
     assert_eq!(shown, vec![entry(1, Readiness::Draining), entry(2, Readiness::Draining)]);
     assert!(overrides.set_disabled_by_cluster(both, 1).is_empty(), "no change is shown twice");
     assert!(overrides.disable(BackendId(1)).is_ok());
-    assert_eq!(overrides.out_of_rotation(), 2);
+    assert_eq!(overrides.out_of_rotation_count(), 2);
     let restarted = Endpoint { started_at: 7, ..entry(2, Readiness::Ready) };
     assert_eq!(
         overrides.set_disabled_by_cluster(BTreeSet::new(), 7),
--- a/crates/dispatch/tests/dispatcher.rs
+++ b/crates/dispatch/tests/dispatcher.rs
@@ -1,6 +1,6 @@
 //! The dispatcher without sockets: one final answer for each request, at most one attempt in flight.
 
-use sedgerun_dispatch::{AttemptResult, Dispatcher, Effect, FinalAnswer, RequestSpec};
+use sedgerun_dispatch::{AttemptResult, Dispatcher, Effect, FinalResponse, RequestSpec};
 use sedgerun_policy::*;
 
 const MS: Micros = 1_000;
@@ -59,8 +59,8 @@
     std::iter::from_fn(|| dispatcher.next_effect()).collect()
 }
 
-fn finals(dispatcher: &mut Dispatcher<&'static str, &'static str>) -> Vec<FinalAnswer<&'static str>> {
-    let answer = |effect| if let Effect::Final { answer, .. } = effect { Some(answer) } else { None };
+fn finals(dispatcher: &mut Dispatcher<&'static str, &'static str>) -> Vec<FinalResponse<&'static str>> {
+    let answer = |effect| if let Effect::Respond { response, .. } = effect { Some(response) } else { None };
     effects(dispatcher).into_iter().filter_map(answer).collect()
 }
 
@@ -68,10 +68,10 @@
 fn run(
     dispatcher: &mut Dispatcher<&'static str, &'static str>,
     until: Micros,
-) -> Vec<FinalAnswer<&'static str>> {
+) -> Vec<FinalResponse<&'static str>> {
     let mut all = Vec::new();
     while let Some(due) = dispatcher.next_timer().filter(|due| *due <= until) {
-        dispatcher.run_due_timers(due);
+        dispatcher.run_expired_timers(due);
         all.extend(finals(dispatcher));
     }
     all
@@ -84,7 +84,11 @@
         assert!(dispatcher.submit(NOW, spec(class), "job").is_some());
         let answers = run(&mut dispatcher, NOW + 1_000 * MS);
         assert_eq!(answers.len(), 1, "class {class}: {answers:?}");
-        assert_eq!(matches!(answers[0], FinalAnswer::Rejected(_)), is_rejected, "class {class}: {answers:?}");
+        assert_eq!(
+            matches!(answers[0], FinalResponse::Rejected(_)),
+            is_rejected,
+            "class {class}: {answers:?}"
+        );
         assert_eq!(dispatcher.open_requests(), 0);
     }
 }
@@ -94,10 +98,10 @@
     let mut dispatcher = dispatcher();
     let id = dispatcher.submit(NOW, spec(1), "job").expect("capacity");
     effects(&mut dispatcher);
-    dispatcher.attempt_ended(NOW + MS, id, 0, AttemptResult::bare(AttemptEnd::Rejected));
+    dispatcher.attempt_ended(NOW + MS, id, 0, AttemptResult::without_response(AttemptEnd::Rejected));
     let mut sends = effects(&mut dispatcher);
     for step in 1..100 {
-        dispatcher.run_due_timers(NOW + MS + step * MS);
+        dispatcher.run_expired_timers(NOW + MS + step * MS);
         sends.extend(effects(&mut dispatcher));
     }
     let again = sends.iter().any(|effect| matches!(effect, Effect::Send { attempt: 1, .. }));
@@ -109,8 +113,8 @@
     let mut dispatcher = dispatcher();
     let id = dispatcher.submit(NOW, spec(1), "job").expect("capacity");
     effects(&mut dispatcher);
-    dispatcher.attempt_ended(NOW + MS, id, 0, AttemptResult::bare(AttemptEnd::Reset));
-    assert_eq!(finals(&mut dispatcher), [FinalAnswer::Failed]);
+    dispatcher.attempt_ended(NOW + MS, id, 0, AttemptResult::without_response(AttemptEnd::Reset));
+    assert_eq!(finals(&mut dispatcher), [FinalResponse::Failed]);
     assert_eq!(run(&mut dispatcher, NOW + 2_000 * MS), []);
 }
 
@@ -118,10 +122,10 @@
 fn an_answer_is_given_once_and_a_second_end_is_ignored() {
     let mut dispatcher = dispatcher();
     let id = dispatcher.submit(NOW, spec(0), "job").expect("capacity");
-    let served = AttemptResult { response: Some("body"), ..AttemptResult::bare(AttemptEnd::Ok) };
+    let served = AttemptResult { response: Some("body"), ..AttemptResult::without_response(AttemptEnd::Ok) };
     dispatcher.attempt_ended(NOW + MS, id, 0, served.clone());
     dispatcher.attempt_ended(NOW + 2 * MS, id, 0, served);
-    assert_eq!(finals(&mut dispatcher), [FinalAnswer::Served("body")]);
+    assert_eq!(finals(&mut dispatcher), [FinalResponse::Served("body")]);
     assert_eq!(run(&mut dispatcher, NOW + 2_000 * MS), []);
 }
 
@@ -130,7 +134,7 @@
     let mut dispatcher = dispatcher();
     let id = dispatcher.submit(NOW, spec(0), "job").expect("capacity");
     dispatcher.client_disconnected(NOW + MS, id);
-    dispatcher.attempt_ended(NOW + 2 * MS, id, 0, AttemptResult::bare(AttemptEnd::Error));
+    dispatcher.attempt_ended(NOW + 2 * MS, id, 0, AttemptResult::without_response(AttemptEnd::Error));
     assert_eq!(run(&mut dispatcher, NOW + 2_000 * MS), []);
     assert_eq!(dispatcher.open_requests(), 0);
 }
@@ -151,7 +155,7 @@
     // It never ran, so that trying again is harmless: a rejection, and the controller's own.
     assert_eq!(run(&mut dispatcher, NOW + 400 * MS), []);
     let answers = run(&mut dispatcher, NOW + 500 * MS);
-    assert!(matches!(answers[..], [FinalAnswer::Rejected(wait)] if wait > 0), "{answers:?}");
+    assert!(matches!(answers[..], [FinalResponse::Rejected(wait)] if wait > 0), "{answers:?}");
 }
 
 #[test]
@@ -169,12 +173,12 @@
 #[test]
 fn requests_before_the_final_deadline_are_answered_by_it() {
     let mut dispatcher = dispatcher();
-    dispatcher.set_final_deadline(NOW + 150 * MS);
+    dispatcher.set_shutdown_deadline(NOW + 150 * MS);
     for class in [0, 1, 0, 0, 0, 0, 0] {
         assert!(dispatcher.submit(NOW, spec(class), "job").is_some());
     }
     let sent =
-        |effect: &Effect<_, _>| matches!(effect, Effect::Send { until, .. } if *until < NOW + 150 * MS);
+        |effect: &Effect<_, _>| matches!(effect, Effect::Send { deadline, .. } if *deadline < NOW + 150 * MS);
     assert!(effects(&mut dispatcher).iter().filter(|effect| sent(effect)).count() >= 4);
     assert_eq!(run(&mut dispatcher, NOW + 150 * MS).len(), 7);
     assert_eq!(dispatcher.open_requests(), 0);
@@ -200,11 +204,11 @@
             NOW + 2 * MS,
             id,
             0,
-            AttemptResult { response: reply, ..AttemptResult::bare(ending) },
+            AttemptResult { response: reply, ..AttemptResult::without_response(ending) },
         );
         let after = effects(&mut dispatcher);
         let sent = after.iter().any(|effect| matches!(effect, Effect::Send { .. }));
-        let finals = after.iter().filter(|effect| matches!(effect, Effect::Final { .. })).count();
+        let finals = after.iter().filter(|effect| matches!(effect, Effect::Respond { .. })).count();
         assert!(!sent && finals == 1 && dispatcher.open_requests() == 0, "{ending:?}: {after:?}");
     }
 }
--- a/crates/protocol-9p/tests/message_frames.rs
+++ b/crates/protocol-9p/tests/message_frames.rs
@@ -80,7 +80,7 @@
         assert_eq!(written[..4], (frame.len() as u32 + 4).to_le_bytes(), "{message:?}");
         assert_eq!(written[4..], frame, "{message:?}");
         assert_eq!(Message::decode(&frame), Ok((TAG, message)));
-        assert_eq!(peek(&frame), Ok((kind, TAG)));
+        assert_eq!(peek_type_and_tag(&frame), Ok((kind, TAG)));
     }
 }
 
@@ -89,23 +89,30 @@
     for (message, kind, fields) in messages() {
         let whole = frame(kind, fields);
         for length in 0..whole.len() {
-            assert_eq!(Message::decode(&whole[..length]), Err(Malformed), "{message:?} cut to {length}");
+            assert_eq!(
+                Message::decode(&whole[..length]),
+                Err(MalformedMessage),
+                "{message:?} cut to {length}"
+            );
         }
         let longer = [&whole[..], &[0]].concat();
-        assert_eq!(Message::decode(&longer), Err(Malformed), "{message:?} and a byte");
+        assert_eq!(Message::decode(&longer), Err(MalformedMessage), "{message:?} and a byte");
     }
 }
 
 #[test]
 fn unknown_types_texts_that_are_not_utf_8_and_long_walks_are_malformed() {
     for kind in (0..100).chain([103, 106]).chain(128..=255) {
-        assert_eq!(Message::decode(&frame(kind, "")), Err(Malformed), "type {kind}");
+        assert_eq!(Message::decode(&frame(kind, "")), Err(MalformedMessage), "type {kind}");
     }
-    assert_eq!(Message::decode(&frame(107, "0100 ff")), Err(Malformed));
-    let names = "0000 ".repeat(MOST_NAMES);
+    assert_eq!(Message::decode(&frame(107, "0100 ff")), Err(MalformedMessage));
+    let names = "0000 ".repeat(MAX_WALK_NAMES);
     assert!(Message::decode(&frame(110, &format!("24232221 34333231 1000 {names}"))).is_ok());
-    assert_eq!(Message::decode(&frame(110, &format!("24232221 34333231 1100 {names} 0000"))), Err(Malformed));
-    assert_eq!(Malformed.to_string(), "malformed 9P message");
+    assert_eq!(
+        Message::decode(&frame(110, &format!("24232221 34333231 1100 {names} 0000"))),
+        Err(MalformedMessage)
+    );
+    assert_eq!(MalformedMessage.to_string(), "malformed 9P message");
 }
 
 #[test]
@@ -133,5 +140,5 @@
 fn the_name_of_a_directory_entry_follows_its_fixed_fields() {
     let entry = [&[0; 41][..], &[3, 0], b"abc", &[0; 6]].concat();
     assert_eq!(stat_name(&entry), Ok("abc".to_owned()));
-    assert_eq!(stat_name(&entry[..43]), Err(Malformed));
+    assert_eq!(stat_name(&entry[..43]), Err(MalformedMessage));
 }
--- a/crates/sedgerun/src/backend/http/mod.rs
+++ b/crates/sedgerun/src/backend/http/mod.rs
@@ -116,12 +116,12 @@
         };
         let mut response = match sending.await {
             Ok(response) => response,
-            Err(error) => return AttemptResult::bare(end_of_error(&error)),
+            Err(error) => return AttemptResult::without_response(end_of_error(&error)),
         };
         let end = end_of_status(response.status(), response.headers());
         let report = LoadReport::read(response.headers());
         let Some(body) = read_body(&mut response).await else {
-            return AttemptResult::bare(AttemptEnd::Reset);
+            return AttemptResult::without_response(AttemptEnd::Reset);
         };
         release_after_rest(response);
         AttemptResult {
--- a/crates/sedgerun/src/backend/ninep/connection.rs
+++ b/crates/sedgerun/src/backend/ninep/connection.rs
@@ -6,7 +6,7 @@
 use super::fids::{FidGuard, FidTable};
 use super::in_flight::InFlightTags;
 use crate::descriptors::DescriptorPermit;
-use sedgerun_protocol_9p::{HEADER, MOST_SIZE, Message, NO_TAG, VERSION, frame_length};
+use sedgerun_protocol_9p::{IO_HEADER_SIZE, MAX_MESSAGE_SIZE, Message, NO_TAG, VERSION, frame_length};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::{Rc, Weak};
@@ -74,7 +74,7 @@
             in_flight: RefCell::default(),
             fids: RefCell::default(),
             is_closed: Cell::new(false),
-            max_message_bytes: Cell::new(MOST_SIZE),
+            max_message_bytes: Cell::new(MAX_MESSAGE_SIZE),
             tasks: RefCell::default(),
             _descriptor: descriptor,
         });
@@ -86,10 +86,10 @@
     }
 
     async fn agree_on_version(&self) -> Result<(), ConnectionLost> {
-        let version = Message::Tversion { msize: MOST_SIZE, version: VERSION.into() };
+        let version = Message::Tversion { msize: MAX_MESSAGE_SIZE, version: VERSION.into() };
         match self.call_with_tag(NO_TAG, version).await? {
-            Message::Rversion { msize, version } if version == VERSION && msize > 2 * HEADER => {
-                self.max_message_bytes.set(msize.min(MOST_SIZE));
+            Message::Rversion { msize, version } if version == VERSION && msize > 2 * IO_HEADER_SIZE => {
+                self.max_message_bytes.set(msize.min(MAX_MESSAGE_SIZE));
                 Ok(())
             }
             _ => Err(ConnectionLost),
@@ -114,7 +114,7 @@
 
     /// The most data that one message can carry, in bytes.
     pub(super) fn max_data_bytes(&self) -> u32 {
-        self.max_message_bytes.get() - HEADER
+        self.max_message_bytes.get() - IO_HEADER_SIZE
     }
 
     /// A new fid, for one attempt unless it is kept.
@@ -199,7 +199,7 @@
 async fn read_message(read_half: &mut OwnedReadHalf) -> Result<(u16, Message), ConnectionLost> {
     let mut length = [0; 4];
     read_half.read_exact(&mut length).await.map_err(|_| ConnectionLost)?;
-    let frame_bytes = frame_length(length, MOST_SIZE).map_err(|_| ConnectionLost)?;
+    let frame_bytes = frame_length(length, MAX_MESSAGE_SIZE).map_err(|_| ConnectionLost)?;
     let mut frame = vec![0; frame_bytes - length.len()];
     read_half.read_exact(&mut frame).await.map_err(|_| ConnectionLost)?;
     Message::decode(&frame).map_err(|_| ConnectionLost)
--- a/crates/sedgerun/src/backend/ninep/files.rs
+++ b/crates/sedgerun/src/backend/ninep/files.rs
@@ -5,7 +5,7 @@
 use super::connection::{Connection, ConnectionLost};
 use super::fids::{FidGuard, Root, TreeKey};
 use super::request::{FileOperation, NinePBackendRequest};
-use sedgerun_protocol_9p::{MODE_ACCESS, MOST_NAMES, Message, NO_FID, QID_DIRECTORY};
+use sedgerun_protocol_9p::{MAX_WALK_NAMES, MODE_ACCESS_MASK, Message, NO_FID, QID_DIRECTORY};
 
 /// Why an operation does not go on.
 pub(super) enum OperationStopped {
@@ -50,7 +50,7 @@
     let root = attach(connection, request).await?;
     let file = connection.new_fid();
     let mut from = root.fid;
-    let mut parts: Vec<&[String]> = request.path.chunks(MOST_NAMES).collect();
+    let mut parts: Vec<&[String]> = request.path.chunks(MAX_WALK_NAMES).collect();
     if parts.is_empty() {
         parts.push(&[]);
     }
@@ -79,7 +79,7 @@
     }
     let file = walk(connection, request).await?;
     let fid = file.fid();
-    let qid = match connection.call(Message::Topen { fid, mode: request.mode & MODE_ACCESS }).await? {
+    let qid = match connection.call(Message::Topen { fid, mode: request.mode & MODE_ACCESS_MASK }).await? {
         Message::Ropen { qid, .. } => qid,
         other => return Err(OperationStopped::Replied(other)),
     };
--- a/crates/sedgerun/src/backend/ninep/mod.rs
+++ b/crates/sedgerun/src/backend/ninep/mod.rs
@@ -80,18 +80,20 @@
     ) -> AttemptResult<BackendResponse> {
         let connection = match self.connection(backend, address).await {
             Ok(connection) => connection,
-            Err(end) => return AttemptResult::bare(end),
+            Err(end) => return AttemptResult::without_response(end),
         };
         AttemptStarted::mark();
         let mut operation = Operation::new(&connection, request);
         match operation.run().await {
             Ok(message) => AttemptResult {
                 response: Some(BackendResponse::Ninep(message)),
-                ..AttemptResult::bare(AttemptEnd::Ok)
+                ..AttemptResult::without_response(AttemptEnd::Ok)
             },
             // Broken off before the message that takes effect has left: it never ran.
-            Err(ConnectionLost) if !operation.effect_sent() => AttemptResult::bare(AttemptEnd::ConnectFailed),
-            Err(ConnectionLost) => AttemptResult::bare(AttemptEnd::Reset),
+            Err(ConnectionLost) if !operation.effect_sent() => {
+                AttemptResult::without_response(AttemptEnd::ConnectFailed)
+            }
+            Err(ConnectionLost) => AttemptResult::without_response(AttemptEnd::Reset),
         }
     }
 
--- a/crates/sedgerun/src/backend/ninep/operation.rs
+++ b/crates/sedgerun/src/backend/ninep/operation.rs
@@ -5,7 +5,7 @@
 use super::files::{OperationStopped, attach, resume, walk};
 use super::request::{FileOperation, NinePBackendRequest};
 use bytes::Bytes;
-use sedgerun_protocol_9p::{MODE_REMOVE, Message};
+use sedgerun_protocol_9p::{MODE_REMOVE_ON_CLOSE, Message};
 
 type Reply = Result<Message, OperationStopped>;
 
@@ -75,7 +75,7 @@
 
     async fn open(&mut self, mode: u8) -> Reply {
         let file = self.walk().await?;
-        let open = Message::Topen { fid: file.fid(), mode: mode & !MODE_REMOVE };
+        let open = Message::Topen { fid: file.fid(), mode: mode & !MODE_REMOVE_ON_CLOSE };
         let reply = self.call_with_effect(open).await?;
         if matches!(reply, Message::Ropen { .. }) {
             file.park(self.request.handle);
@@ -85,7 +85,7 @@
 
     async fn create(&mut self, name: &str, perm: u32, mode: u8) -> Reply {
         let file = self.walk().await?;
-        let (name, mode) = (name.to_owned(), mode & !MODE_REMOVE);
+        let (name, mode) = (name.to_owned(), mode & !MODE_REMOVE_ON_CLOSE);
         let reply = self.call_with_effect(Message::Tcreate { fid: file.fid(), name, perm, mode }).await?;
         if matches!(reply, Message::Rcreate { .. }) {
             file.park(self.request.handle);
--- a/crates/sedgerun/src/dispatch_service/effects.rs
+++ b/crates/sedgerun/src/dispatch_service/effects.rs
@@ -3,7 +3,7 @@
 use super::DispatchService;
 use super::attempts::{AttemptKey, AttemptTask};
 use crate::backend::{AttemptStarted, BackendRequest, BackendResponse};
-use sedgerun_dispatch::{AttemptResult, Effect, FinalAnswer};
+use sedgerun_dispatch::{AttemptResult, Effect, FinalResponse};
 use sedgerun_policy::{AttemptEnd, BackendId, Micros, RequestId};
 use std::rc::Rc;
 
@@ -17,11 +17,11 @@
         loop {
             let Some(effect) = self.dispatcher.borrow_mut().next_effect() else { break };
             match effect {
-                Effect::Send { id, attempt, backend, until, job } => {
-                    self.begin_attempt(AttemptKey { id, attempt }, backend, until, job);
+                Effect::Send { id, attempt, backend, deadline, payload } => {
+                    self.begin_attempt(AttemptKey { id, attempt }, backend, deadline, payload);
                 }
                 Effect::Cancel { id, attempt } => self.abandon_attempt(AttemptKey { id, attempt }),
-                Effect::Final { id, answer } => self.give_answer(id, answer),
+                Effect::Respond { id, response } => self.give_answer(id, response),
                 Effect::Watch => self.watch_wanted.notify_one(),
             }
         }
@@ -42,7 +42,8 @@
         let marker = started.clone();
         let task = actix_rt::spawn(async move {
             let result = marker.scope(service.backends.attempt(backend, time_left, &job)).await;
-            let result = result.unwrap_or_else(|| AttemptResult::bare(AttemptEnd::CancelledUnsent));
+            let result =
+                result.unwrap_or_else(|| AttemptResult::without_response(AttemptEnd::CancelledUnsent));
             service.attempt_ended(key.id, key.attempt, result);
         });
         self.attempts.insert(key, AttemptTask { backend, started, handle: task.abort_handle() });
@@ -56,7 +57,7 @@
         }
     }
 
-    fn give_answer(&self, id: RequestId, answer: FinalAnswer<BackendResponse>) {
+    fn give_answer(&self, id: RequestId, answer: FinalResponse<BackendResponse>) {
         let client = self.waiting.borrow_mut().remove(&id);
         if let Some(client) = client {
             // The client may have disconnected in the meantime; then nobody waits for the answer.
--- a/crates/sedgerun/src/dispatch_service/mod.rs
+++ b/crates/sedgerun/src/dispatch_service/mod.rs
@@ -98,7 +98,7 @@
 
     /// From now on requests are answered by this time.
     pub fn set_final_deadline(&self, at: Micros) {
-        self.dispatcher.borrow_mut().set_final_deadline(at);
+        self.dispatcher.borrow_mut().set_shutdown_deadline(at);
     }
 
     /// Takes a request; `None` where as many are open as may be.
@@ -171,7 +171,7 @@
                 task.abort();
             }
             let now = self.clock.now();
-            let result = AttemptResult::bare(AttemptEnd::CancelledUnsent);
+            let result = AttemptResult::without_response(AttemptEnd::CancelledUnsent);
             self.with_dispatcher(|dispatcher| dispatcher.attempt_ended(now, key.id, key.attempt, result));
         }
     }
--- a/crates/sedgerun/src/dispatch_service/overrides.rs
+++ b/crates/sedgerun/src/dispatch_service/overrides.rs
@@ -21,7 +21,7 @@
     /// The number of backends on the list, and of those of them that are out of rotation.
     pub fn rotation(&self) -> (usize, usize) {
         let overrides = self.overrides.borrow();
-        (overrides.listed(), overrides.out_of_rotation())
+        (overrides.listed_count(), overrides.out_of_rotation_count())
     }
 
     /// Disables a backend at this head.
--- a/crates/sedgerun/src/dispatch_service/pending_request.rs
+++ b/crates/sedgerun/src/dispatch_service/pending_request.rs
@@ -2,7 +2,7 @@
 
 use super::DispatchService;
 use crate::backend::BackendResponse;
-use sedgerun_dispatch::FinalAnswer;
+use sedgerun_dispatch::FinalResponse;
 use sedgerun_policy::RequestId;
 use std::rc::Rc;
 use tokio::sync::oneshot;
@@ -12,14 +12,14 @@
     /// Index of the request's class, for the metrics.
     pub class: usize,
     /// Where the final answer goes.
-    pub answer: oneshot::Sender<FinalAnswer<BackendResponse>>,
+    pub answer: oneshot::Sender<FinalResponse<BackendResponse>>,
 }
 
 /// An open request. Dropped before its answer, it notifies the dispatcher that the client has disconnected.
 pub struct PendingRequest {
     service: Rc<DispatchService>,
     id: RequestId,
-    answer: oneshot::Receiver<FinalAnswer<BackendResponse>>,
+    answer: oneshot::Receiver<FinalResponse<BackendResponse>>,
     is_answered: bool,
 }
 
@@ -27,7 +27,7 @@
     pub(super) fn new(
         service: Rc<DispatchService>,
         id: RequestId,
-        answer: oneshot::Receiver<FinalAnswer<BackendResponse>>,
+        answer: oneshot::Receiver<FinalResponse<BackendResponse>>,
     ) -> PendingRequest {
         PendingRequest { service, id, answer, is_answered: false }
     }
@@ -38,10 +38,10 @@
     }
 
     /// Waits for the final answer.
-    pub async fn answer(mut self) -> FinalAnswer<BackendResponse> {
+    pub async fn answer(mut self) -> FinalResponse<BackendResponse> {
         let answer = (&mut self.answer).await;
         self.is_answered = true;
-        answer.unwrap_or(FinalAnswer::Failed)
+        answer.unwrap_or(FinalResponse::Failed)
     }
 }
 
--- a/crates/sedgerun/src/dispatch_service/timers.rs
+++ b/crates/sedgerun/src/dispatch_service/timers.rs
@@ -42,7 +42,7 @@
             tokio::select! {
                 () = sleep => {
                     let now = self.clock.now();
-                    self.with_dispatcher(|dispatcher| dispatcher.run_due_timers(now));
+                    self.with_dispatcher(|dispatcher| dispatcher.run_expired_timers(now));
                 }
                 () = self.alarm.rearm.notified() => {}
             }
--- a/crates/sedgerun/src/frontend/http/handler.rs
+++ b/crates/sedgerun/src/frontend/http/handler.rs
@@ -11,7 +11,7 @@
 use actix_http::body::BoxBody;
 use actix_http::{ConnectionType, Method, Request, Response, StatusCode};
 use bytes::Bytes;
-use sedgerun_dispatch::FinalAnswer;
+use sedgerun_dispatch::FinalResponse;
 use std::rc::Rc;
 use std::time::Instant;
 
@@ -106,8 +106,8 @@
         let answer = pending.answer().await;
         drop(awaiting_answer);
         match answer {
-            FinalAnswer::Served(BackendResponse::Http(body)) => Ok(body),
-            FinalAnswer::Rejected(retry_after) => {
+            FinalResponse::Served(BackendResponse::Http(body)) => Ok(body),
+            FinalResponse::Rejected(retry_after) => {
                 Err(RequestError::Rejected { retry_after_seconds: retry_after as f64 / 1e6 })
             }
             _ => Err(RequestError::Failed),
--- a/crates/sedgerun/src/frontend/ninep/error.rs
+++ b/crates/sedgerun/src/frontend/ninep/error.rs
@@ -1,7 +1,7 @@
 //! Why an operation fails. Clients read the texts, as the `ename` of an `Rerror`.
 
 use sedgerun_policy::Micros;
-use sedgerun_protocol_9p::Malformed;
+use sedgerun_protocol_9p::MalformedMessage;
 use thiserror::Error;
 
 /// Why an operation fails.
@@ -54,7 +54,7 @@
     RootStays,
     /// A directory entry cannot be read.
     #[error(transparent)]
-    MalformedStat(#[from] Malformed),
+    MalformedStat(#[from] MalformedMessage),
     /// The client has cancelled the operation before its request was submitted.
     #[error("interrupted")]
     Cancelled,
--- a/crates/sedgerun/src/frontend/ninep/operations.rs
+++ b/crates/sedgerun/src/frontend/ninep/operations.rs
@@ -6,7 +6,7 @@
 use super::in_flight::Operation;
 use crate::backend::ninep::FileOperation;
 use bytes::Bytes;
-use sedgerun_protocol_9p::{MODE_ACCESS, MODE_REMOVE, MODE_WRITE, Message, NO_FID, stat_name};
+use sedgerun_protocol_9p::{MODE_ACCESS_MASK, MODE_REMOVE_ON_CLOSE, MODE_WRITE, Message, NO_FID, stat_name};
 
 /// The mode of a fid that is open for both reading and writing.
 const MODE_READ_WRITE: u8 = 2;
@@ -79,7 +79,7 @@
     ) -> Result<Message, NinePError> {
         let fid = operation.session.fids.get(number)?;
         let mode = fid.open_mode.ok_or(NinePError::FidIsNotOpen)?;
-        if mode & MODE_ACCESS == MODE_WRITE {
+        if mode & MODE_ACCESS_MASK == MODE_WRITE {
             return Err(NinePError::NotOpenForReading);
         }
         let count = count.min(operation.session.most_data());
@@ -96,7 +96,7 @@
     ) -> Result<Message, NinePError> {
         let fid = operation.session.fids.get(number)?;
         let mode = fid.open_mode.ok_or(NinePError::FidIsNotOpen)?;
-        if !matches!(mode & MODE_ACCESS, MODE_WRITE | MODE_READ_WRITE) {
+        if !matches!(mode & MODE_ACCESS_MASK, MODE_WRITE | MODE_READ_WRITE) {
             return Err(NinePError::NotOpenForWriting);
         }
         self.submit(operation, &fid, FileOperation::Write { offset, data }).await
@@ -106,7 +106,7 @@
     async fn clunk(&self, operation: &Operation, number: u32) -> Result<Message, NinePError> {
         let fid = operation.session.fids.remove(number)?;
         self.release_handle(fid.handle);
-        if fid.open_mode.is_some_and(|mode| mode & MODE_REMOVE != 0) {
+        if fid.open_mode.is_some_and(|mode| mode & MODE_REMOVE_ON_CLOSE != 0) {
             // As with any server of 9P, the clunk succeeds whether or not the file could be removed.
             let _ = self.submit(operation, &fid, FileOperation::Remove).await;
         }
--- a/crates/sedgerun/src/frontend/ninep/reader.rs
+++ b/crates/sedgerun/src/frontend/ninep/reader.rs
@@ -4,7 +4,7 @@
 use super::session::Session;
 use super::{MESSAGE_TIMEOUT, NinePFrontend};
 use futures_util::FutureExt;
-use sedgerun_protocol_9p::{Message, NO_TAG, frame_length, peek};
+use sedgerun_protocol_9p::{Message, NO_TAG, frame_length, peek_type_and_tag};
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
@@ -31,7 +31,7 @@
         reading: &mut OwnedReadHalf,
     ) -> Result<(), EndOfSession> {
         let frame = read_frame(session, reading).await.ok_or(EndOfSession)?;
-        let (_, tag) = peek(&frame).map_err(|_| EndOfSession)?;
+        let (_, tag) = peek_type_and_tag(&frame).map_err(|_| EndOfSession)?;
         match Message::decode(&frame) {
             Err(_) => {
                 let ename = "malformed message".into();
--- a/crates/sedgerun/src/frontend/ninep/session.rs
+++ b/crates/sedgerun/src/frontend/ninep/session.rs
@@ -3,7 +3,7 @@
 use super::NinePFrontend;
 use super::fids::FidTable;
 use super::in_flight::OperationTable;
-use sedgerun_protocol_9p::{HEADER, MOST_SIZE, Message, VERSION};
+use sedgerun_protocol_9p::{IO_HEADER_SIZE, MAX_MESSAGE_SIZE, Message, VERSION};
 use std::cell::Cell;
 use std::time::Duration;
 use tokio::io::AsyncWriteExt;
@@ -38,7 +38,7 @@
             replies,
             is_shared,
             unsent_replies: Cell::new(0),
-            message_size: Cell::new(MOST_SIZE),
+            message_size: Cell::new(MAX_MESSAGE_SIZE),
             version_agreed: Cell::new(false),
             fids: FidTable::default(),
             operations: OperationTable::default(),
@@ -63,7 +63,7 @@
 
     /// The most data that one message can carry, in bytes.
     pub(super) fn most_data(&self) -> u32 {
-        self.message_size.get() - HEADER
+        self.message_size.get() - IO_HEADER_SIZE
     }
 
     /// Whether a version has been agreed on.
@@ -110,7 +110,7 @@
         if message_size < LEAST_MESSAGE_SIZE {
             return None;
         }
-        let message_size = message_size.min(MOST_SIZE);
+        let message_size = message_size.min(MAX_MESSAGE_SIZE);
         let is_known = version == VERSION || version.starts_with("9P2000.");
         session.version_agreed.set(is_known);
         session.message_size.set(message_size);
--- a/crates/sedgerun/src/frontend/ninep/submission.rs
+++ b/crates/sedgerun/src/frontend/ninep/submission.rs
@@ -7,7 +7,7 @@
 use crate::backend::ninep::{FileOperation, NinePBackendRequest};
 use crate::backend::{BackendRequest, BackendResponse};
 use crate::tenants::Export;
-use sedgerun_dispatch::{FinalAnswer, RequestSpec};
+use sedgerun_dispatch::{FinalResponse, RequestSpec};
 use sedgerun_policy::Micros;
 use sedgerun_protocol_9p::{MODE_TRUNCATE, Message};
 
@@ -48,8 +48,8 @@
         let answer = pending.answer().await;
         operation.request.set(None);
         match answer {
-            FinalAnswer::Served(BackendResponse::Ninep(message)) => Ok(message),
-            FinalAnswer::Rejected(retry_after) => Err(NinePError::Rejected { retry_after }),
+            FinalResponse::Served(BackendResponse::Ninep(message)) => Ok(message),
+            FinalResponse::Rejected(retry_after) => Err(NinePError::Rejected { retry_after }),
             _ => Err(NinePError::Failed),
         }
     }
--- a/crates/sedgerun/src/management/mod.rs
+++ b/crates/sedgerun/src/management/mod.rs
@@ -138,8 +138,8 @@
             OperatorCommand::Resume => self.resume(),
             OperatorCommand::Disable(id) => self.set_disabled_by_head(&id, true),
             OperatorCommand::Enable(id) => self.set_disabled_by_head(&id, false),
-            OperatorCommand::FleetDisable(id) => self.set_disabled_by_cluster(&id, true).await,
-            OperatorCommand::FleetEnable(id) => self.set_disabled_by_cluster(&id, false).await,
+            OperatorCommand::ClusterDisable(id) => self.set_disabled_by_cluster(&id, true).await,
+            OperatorCommand::ClusterEnable(id) => self.set_disabled_by_cluster(&id, false).await,
         }
     }
 
--- a/crates/sedgerun/src/operator.rs
+++ b/crates/sedgerun/src/operator.rs
@@ -5,7 +5,7 @@
 use crate::tenants::{Catalogue, Export, TenantRegistry};
 use sedgerun_cluster::settings::Settings as ClusterSettings;
 use sedgerun_config::{Faults, Pairs, operator};
-use sedgerun_vrrp::{Router, packet};
+use sedgerun_vrrp::{RouterConfig, packet};
 use std::net::SocketAddr;
 
 /// The largest value of 16 bits: counts, ports and numbers of shards stay within it.
@@ -58,7 +58,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Vrrp {
     /// The virtual router.
-    pub router: Router,
+    pub router: RouterConfig,
     /// The address that its datagrams are sent from and received at.
     pub listen: SocketAddr,
     /// The other routers.
@@ -199,13 +199,13 @@
         let what = format!("setting vrrp.interval is not in hundredths of a second: {interval}");
         pairs.fault("vrrp.interval", what);
     }
-    let router = Router {
+    let router = RouterConfig {
         id: pairs.count("vrrp.id", 1.0, 255.0, None) as u8,
         priority: pairs.count("vrrp.priority", 1.0, 255.0, Some(DEFAULT_VRRP_PRIORITY)) as u8,
-        interval: ((interval / MICROS_PER_CENTISECOND) as u16).min(packet::MOST_INTERVAL),
+        interval: ((interval / MICROS_PER_CENTISECOND) as u16).min(packet::MAX_INTERVAL),
         preempt: pairs.flag("vrrp.preempt", true),
         addresses: list(pairs, "vrrp.addresses"),
-        own: listen,
+        own_address: listen,
     };
     let peers = list(pairs, "vrrp.peers");
     let port = pairs.count("vrrp.port", 1.0, MAX_U16, None) as u16;
--- a/crates/sedgerun/src/vrrp.rs
+++ b/crates/sedgerun/src/vrrp.rs
@@ -4,7 +4,7 @@
 //! and carries its actions out. Who serves the virtual addresses is not decided here.
 
 use crate::clock::Clock;
-use sedgerun_vrrp::{Action, Advertisement, Event, Machine, Router, State, packet};
+use sedgerun_vrrp::{Action, Advertisement, Event, RouterConfig, State, StateMachine, packet};
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -19,7 +19,7 @@
 
 /// A virtual router on a socket.
 pub struct VrrpRunner {
-    router: Router,
+    router: RouterConfig,
     peers: Vec<SocketAddr>,
     socket: UdpSocket,
     clock: Clock,
@@ -33,12 +33,12 @@
 impl VrrpRunner {
     /// A virtual router that has not begun.
     pub fn new(
-        mut router: Router,
+        mut router: RouterConfig,
         peers: Vec<SocketAddr>,
         socket: UdpSocket,
         clock: Clock,
     ) -> Rc<VrrpRunner> {
-        router.own = socket.local_addr().unwrap_or(router.own);
+        router.own_address = socket.local_addr().unwrap_or(router.own_address);
         Rc::new(VrrpRunner {
             router,
             peers,
@@ -68,7 +68,7 @@
 
     /// Takes part until it is stopped.
     pub async fn run(self: Rc<Self>) {
-        let mut machine = self.step(Machine::default(), &Event::Startup).await;
+        let mut machine = self.step(StateMachine::default(), &Event::Startup).await;
         let mut buffer = [0; MAX_ADVERTISEMENT_BYTES + 1];
         while machine.state != State::Initialize {
             if let Some(event) = self.next_event(&machine, &mut buffer).await {
@@ -79,7 +79,7 @@
     }
 
     /// Waits for the next event; `None` for a datagram that is to be ignored.
-    async fn next_event(&self, machine: &Machine, buffer: &mut [u8]) -> Option<Event> {
+    async fn next_event(&self, machine: &StateMachine, buffer: &mut [u8]) -> Option<Event> {
         let until_timer = machine
             .timer
             .map_or(DEFAULT_TICK, |at| Duration::from_micros(at.saturating_sub(self.clock.now())));
@@ -104,12 +104,12 @@
         is_ours.then_some(advertisement)
     }
 
-    async fn step(&self, machine: Machine, event: &Event) -> Machine {
+    async fn step(&self, machine: StateMachine, event: &Event) -> StateMachine {
         let (machine, actions) = machine.step(&self.router, event, self.clock.now());
         for action in actions {
             match action {
                 Action::Advertise(priority) => self.advertise(priority).await,
-                Action::Became(state) => {
+                Action::StateChanged(state) => {
                     tracing::info!("vrrp {}: {:?} -> {state:?}", self.router.id, self.state.get());
                     self.state.set(state);
                     self.changed.notify_one();
@@ -120,7 +120,7 @@
     }
 
     async fn advertise(&self, priority: u8) {
-        let Router { id, interval, ref addresses, .. } = self.router;
+        let RouterConfig { id, interval, ref addresses, .. } = self.router;
         let advertisement = Advertisement { id, priority, interval, addresses: addresses.clone() };
         let datagram = packet::encode(&advertisement);
         for peer in &self.peers {
--- a/crates/sedgerun/tests/frontend_errors.rs
+++ b/crates/sedgerun/tests/frontend_errors.rs
@@ -2,7 +2,7 @@
 
 mod standin;
 
-use sedgerun_protocol_9p::{MODE_WRITE, MOST_NAMES, Message, NO_FID, NO_TAG, VERSION};
+use sedgerun_protocol_9p::{MAX_WALK_NAMES, MODE_WRITE, Message, NO_FID, NO_TAG, VERSION};
 use serde_json::json;
 use standin::{Client, Discovery, Fault, Program, StandIn, config, get, operator, receive, write_request};
 use std::io::{BufReader, Read, Write};
@@ -190,9 +190,9 @@
     let mut client = Client::attach(program.ninep.expect("9P"), "press");
     // Names of 255 bytes: the sixteenth takes the path to 4096 bytes, and the next one past it.
     let long = "x".repeat(255);
-    assert_eq!(ename(client.walk(1, &vec![&*long; MOST_NAMES])), "file does not exist");
+    assert_eq!(ename(client.walk(1, &vec![&*long; MAX_WALK_NAMES])), "file does not exist");
     let longer = format!("{long}x");
-    let names: Vec<&str> = [&[&*longer][..], &vec![&*long; MOST_NAMES - 1]].concat();
+    let names: Vec<&str> = [&[&*longer][..], &vec![&*long; MAX_WALK_NAMES - 1]].concat();
     assert_eq!(ename(client.walk(1, &names)), "path is too deep");
     // The root's fid is one of 768.
     for fid in 1..768 {
--- a/crates/sedgerun/tests/frozen_settings.rs
+++ b/crates/sedgerun/tests/frozen_settings.rs
@@ -224,7 +224,10 @@
     let router = vrrp.router;
     assert_eq!((router.id, router.priority, router.interval, router.preempt), (7, 120, 150, false));
     let addresses: Vec<String> = router.addresses.iter().map(ToString::to_string).collect();
-    assert_eq!((addresses, router.own), (vec!["127.0.0.100".into(), "127.0.0.101".into()], vrrp.listen));
+    assert_eq!(
+        (addresses, router.own_address),
+        (vec!["127.0.0.100".into(), "127.0.0.101".into()], vrrp.listen)
+    );
     assert!(operator.fleet.is_none());
 }
 
--- a/crates/sedgerun/tests/ninep.rs
+++ b/crates/sedgerun/tests/ninep.rs
@@ -163,7 +163,7 @@
     client.stream.write_all(&[9, 0, 0, 0, 99, 1, 0, 0, 0]).expect("sent");
     let (_, reply) = receive(&mut client.stream).expect("a reply");
     assert_eq!(ename(reply), "malformed message");
-    for size in [0u32, 6, MOST_SIZE + 1, u32::MAX] {
+    for size in [0u32, 6, MAX_MESSAGE_SIZE + 1, u32::MAX] {
         let mut client = Client::attach(address, "press");
         client.stream.write_all(&size.to_le_bytes()).expect("sent");
         client.stream.write_all(&[120, 1, 0]).ok();
--- a/crates/sedgerun/tests/standin/mod.rs
+++ b/crates/sedgerun/tests/standin/mod.rs
@@ -396,7 +396,7 @@
 pub fn receive(stream: &mut TcpStream) -> Option<(u16, Message)> {
     let mut head = [0; 4];
     stream.read_exact(&mut head).ok()?;
-    let mut frame = vec![0; frame_length(head, MOST_SIZE).ok()? - 4];
+    let mut frame = vec![0; frame_length(head, MAX_MESSAGE_SIZE).ok()? - 4];
     stream.read_exact(&mut frame).ok()?;
     Message::decode(&frame).ok()
 }
@@ -411,7 +411,7 @@
         let mut client = Client { stream: TcpStream::connect(address).expect("a connection") };
         client.stream.set_read_timeout(Some(Duration::from_secs(20))).expect("a timeout");
         client.stream.set_nodelay(true).expect("no delay");
-        let version = Message::Tversion { msize: MOST_SIZE, version: VERSION.into() };
+        let version = Message::Tversion { msize: MAX_MESSAGE_SIZE, version: VERSION.into() };
         client.stream.write_all(&version.encode(NO_TAG)).expect("sent");
         receive(&mut client.stream).expect("a version");
         let attach = Message::Tattach { fid: 0, afid: NO_FID, uname: "u".into(), aname: export.into() };
--- a/crates/sedgerun/tests/vrrp.rs
+++ b/crates/sedgerun/tests/vrrp.rs
@@ -3,21 +3,21 @@
 mod standin;
 
 use sedgerun_protocol_9p::Message;
-use sedgerun_vrrp::{Action, Advertisement, CENTISECOND, Event, Machine, Router, State, packet};
+use sedgerun_vrrp::{Action, Advertisement, CENTISECOND, Event, RouterConfig, State, StateMachine, packet};
 use standin::{Client, Discovery, Fault, Program, StandIn, config, operator};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream, UdpSocket};
 use std::thread;
 use std::time::{Duration, Instant};
 
-fn router(priority: u8, port: u16) -> Router {
-    let own = SocketAddr::from(([127, 0, 0, 1], port));
-    Router {
+fn router(priority: u8, port: u16) -> RouterConfig {
+    let own_address = SocketAddr::from(([127, 0, 0, 1], port));
+    RouterConfig {
         id: 7,
         priority,
         interval: 100,
         preempt: true,
         addresses: vec![Ipv4Addr::new(127, 0, 0, 100)],
-        own,
+        own_address,
     }
 }
 
@@ -48,8 +48,8 @@
 #[test]
 fn a_backup_takes_over_when_the_active_router_falls_silent() {
     let router = router(100, 1);
-    let (machine, actions) = Machine::default().step(&router, &Event::Startup, 0);
-    assert_eq!((machine.state, actions), (State::Backup, vec![Action::Became(State::Backup)]));
+    let (machine, actions) = StateMachine::default().step(&router, &Event::Startup, 0);
+    assert_eq!((machine.state, actions), (State::Backup, vec![Action::StateChanged(State::Backup)]));
     // Three intervals and the skew: (256 - 100) / 256 of one.
     let down = 300 * CENTISECOND + 156 * 100 * CENTISECOND / 256;
     assert_eq!(machine.timer, Some(down));
@@ -57,14 +57,14 @@
     assert_eq!(machine.timer, Some(50 + down));
     assert_eq!(machine.step(&router, &Event::Tick, 49 + down).0, machine);
     let (machine, actions) = machine.step(&router, &Event::Tick, 50 + down);
-    assert_eq!(actions, [Action::Advertise(100), Action::Became(State::Active)]);
+    assert_eq!(actions, [Action::Advertise(100), Action::StateChanged(State::Active)]);
     let (machine, actions) = machine.step(&router, &Event::Tick, 50 + down + 100 * CENTISECOND);
     assert_eq!((machine.state, actions), (State::Active, vec![Action::Advertise(100)]));
 }
 
 #[test]
 fn priorities_addresses_and_preemption_decide_who_is_active() {
-    let start = |router: &Router| Machine::default().step(router, &Event::Startup, 0).0;
+    let start = |router: &RouterConfig| StateMachine::default().step(router, &Event::Startup, 0).0;
     let router_100 = router(100, 5);
     let backup = start(&router_100);
     let (active, _) = backup.step(&router_100, &Event::Tick, backup.timer.expect("a timer"));
@@ -82,7 +82,7 @@
     }
     // A lower active router is left alone only where preemption is off.
     assert_eq!(backup.step(&router_100, &received(50, 1), 10).0.timer, backup.timer);
-    let without_preemption = Router { preempt: false, ..router_100.clone() };
+    let without_preemption = RouterConfig { preempt: false, ..router_100.clone() };
     assert!(backup.step(&without_preemption, &received(50, 1), 10).0.timer > backup.timer);
     // One that stops is followed after the skew alone.
     assert_eq!(
@@ -90,8 +90,8 @@
         Some(10 + 156 * 100 * CENTISECOND / 256)
     );
     let (stopped, actions) = active.step(&router_100, &Event::Shutdown, 10);
-    assert_eq!((stopped, actions[0]), (Machine::default(), Action::Advertise(0)));
-    let owner = Machine::default().step(&router(255, 1), &Event::Startup, 0);
+    assert_eq!((stopped, actions[0]), (StateMachine::default(), Action::Advertise(0)));
+    let owner = StateMachine::default().step(&router(255, 1), &Event::Startup, 0);
     assert_eq!((owner.0.state, owner.1[0]), (State::Active, Action::Advertise(255)));
 }
 
--- a/crates/testbed/src/simulator/heads.rs
+++ b/crates/testbed/src/simulator/heads.rs
@@ -6,7 +6,7 @@
 use super::state::{AnswerToClient, CLIENT_HOP, Packet, Simulator, backend_of, machine_of};
 use crate::auditor::{AnswerKind, ExecutionProof, Ticket};
 use crate::figures::RequestResult;
-use sedgerun_dispatch::{Dispatcher, Effect, FinalAnswer};
+use sedgerun_dispatch::{Dispatcher, Effect, FinalResponse};
 use sedgerun_policy::{BackendId, Micros, RequestId, UpdateScope};
 
 /// Injected bugs that act now and then do so once in so many opportunities.
@@ -62,7 +62,7 @@
         let state = &mut self.heads[head];
         if state.incarnation == incarnation && state.armed_at == self.now {
             state.armed_at = Micros::MAX;
-            self.with_dispatcher(head, sedgerun_dispatch::Dispatcher::run_due_timers);
+            self.with_dispatcher(head, sedgerun_dispatch::Dispatcher::run_expired_timers);
         }
     }
 
@@ -83,8 +83,8 @@
     pub(super) fn carry_out_effects(&mut self, head: usize) {
         while let Some(effect) = self.heads[head].dispatcher.as_mut().and_then(Dispatcher::next_effect) {
             match effect {
-                Effect::Send { id, attempt, backend, job, .. } => {
-                    self.send(head, id, attempt, backend, job.client_attempt);
+                Effect::Send { id, attempt, backend, payload, .. } => {
+                    self.send(head, id, attempt, backend, payload.client_attempt);
                 }
                 Effect::Cancel { id, attempt } => {
                     if let Some(attempt) = self.heads[head].in_flight.remove(&(id, attempt)) {
@@ -94,7 +94,7 @@
                         self.cancel_attempt(attempt);
                     }
                 }
-                Effect::Final { id, answer } => self.send_final_answer(head, id, answer),
+                Effect::Respond { id, response } => self.send_final_answer(head, id, response),
                 Effect::Watch => {
                     self.discovery.watch(self.now, head);
                     self.arm_discovery();
@@ -125,12 +125,12 @@
         }
     }
 
-    fn send_final_answer(&mut self, head: usize, id: RequestId, answer: FinalAnswer<Ticket>) {
+    fn send_final_answer(&mut self, head: usize, id: RequestId, answer: FinalResponse<Ticket>) {
         let Some(client_attempt) = self.heads[head].open_requests.remove(&id) else { return };
         let (result, mut ticket, retry_after) = match answer {
-            FinalAnswer::Served(ticket) => (RequestResult::InTime, ticket, 0),
-            FinalAnswer::Rejected(after) => (RequestResult::Rejected, u64::from(client_attempt), after),
-            FinalAnswer::Failed => (RequestResult::Failed, u64::from(client_attempt), 0),
+            FinalResponse::Served(ticket) => (RequestResult::InTime, ticket, 0),
+            FinalResponse::Rejected(after) => (RequestResult::Rejected, u64::from(client_attempt), after),
+            FinalResponse::Failed => (RequestResult::Failed, u64::from(client_attempt), 0),
         };
         if self.bug_acts(InjectedBug::SwallowAnswer) {
             return;
--- a/crates/testbed/src/sockets/ninep_client.rs
+++ b/crates/testbed/src/sockets/ninep_client.rs
@@ -4,7 +4,7 @@
 use crate::auditor::Ticket;
 use crate::figures::RequestResult;
 use sedgerun_policy::Micros;
-use sedgerun_protocol_9p::{MOST_SIZE, Message, NO_FID, NO_TAG, VERSION};
+use sedgerun_protocol_9p::{MAX_MESSAGE_SIZE, Message, NO_FID, NO_TAG, VERSION};
 use std::io;
 use std::net::SocketAddr;
 use tokio::io::AsyncWriteExt;
@@ -91,7 +91,7 @@
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
         let mut session = Session { stream };
-        let version = Message::Tversion { msize: MOST_SIZE, version: VERSION.into() };
+        let version = Message::Tversion { msize: MAX_MESSAGE_SIZE, version: VERSION.into() };
         session.call(NO_TAG, &version).await?;
         let attach =
             Message::Tattach { fid: ROOT_FID, afid: NO_FID, uname: "r".into(), aname: export.into() };
--- a/crates/testbed/src/sockets/ninep_files.rs
+++ b/crates/testbed/src/sockets/ninep_files.rs
@@ -4,7 +4,7 @@
 use crate::auditor::Ticket;
 use crate::drawn_scenario::types::{Arrival, Placement, Volume};
 use sedgerun_policy::Micros;
-use sedgerun_protocol_9p::{MOST_SIZE, Message, frame_length};
+use sedgerun_protocol_9p::{MAX_MESSAGE_SIZE, Message, frame_length};
 use std::io;
 use tokio::io::AsyncReadExt;
 
@@ -18,7 +18,7 @@
     let malformed = || io::Error::new(io::ErrorKind::InvalidData, "a malformed 9P message");
     let mut head = [0; 4];
     stream.read_exact(&mut head).await?;
-    let length = frame_length(head, MOST_SIZE).map_err(|_| malformed())?;
+    let length = frame_length(head, MAX_MESSAGE_SIZE).map_err(|_| malformed())?;
     let mut frame = vec![0; length - 4];
     stream.read_exact(&mut frame).await?;
     Message::decode(&frame).map_err(|_| malformed())
--- a/crates/testbed/src/sockets/ninep_server.rs
+++ b/crates/testbed/src/sockets/ninep_server.rs
@@ -3,7 +3,7 @@
 use super::backends::{AttemptVerdict, EmulatedBackend};
 use super::ninep_files::{file_name, parse_file_name, receive};
 use crate::auditor::Ticket;
-use sedgerun_protocol_9p::{MOST_SIZE, Message, Qid, VERSION};
+use sedgerun_protocol_9p::{MAX_MESSAGE_SIZE, Message, Qid, VERSION};
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::io;
@@ -90,7 +90,7 @@
     fn reply_to(&mut self, message: Message) -> Message {
         match message {
             Message::Tversion { msize, .. } => {
-                Message::Rversion { msize: msize.min(MOST_SIZE), version: VERSION.into() }
+                Message::Rversion { msize: msize.min(MAX_MESSAGE_SIZE), version: VERSION.into() }
             }
             Message::Tattach { fid, .. } => {
                 self.tickets.insert(fid, None);
--- a/crates/vrrp/src/packet.rs
+++ b/crates/vrrp/src/packet.rs
@@ -12,7 +12,7 @@
 /// Where the checksum stands.
 const CHECKSUM: std::ops::Range<usize> = 6..8;
 /// The largest interval: 12 bits, in hundredths of a second.
-pub const MOST_INTERVAL: u16 = 0x0fff;
+pub const MAX_INTERVAL: u16 = 0x0fff;
 
 /// The Internet checksum of a message: 0 over one that carries its own.
 fn checksum(bytes: &[u8]) -> u16 {
@@ -31,7 +31,7 @@
     let Advertisement { id, priority, interval, addresses } = advertisement;
     let count = addresses.len().min(usize::from(u8::MAX));
     let mut bytes = vec![VERSION_TYPE, *id, *priority, count as u8];
-    bytes.extend((interval & MOST_INTERVAL).to_be_bytes());
+    bytes.extend((interval & MAX_INTERVAL).to_be_bytes());
     bytes.extend([0, 0]);
     addresses.iter().take(count).for_each(|address| bytes.extend(address.octets()));
     let sum = checksum(&bytes);
@@ -48,7 +48,7 @@
     if header[0] != VERSION_TYPE || !is_complete || checksum(bytes) != 0 {
         return None;
     }
-    let interval = u16::from_be_bytes([header[4], header[5]]) & MOST_INTERVAL;
+    let interval = u16::from_be_bytes([header[4], header[5]]) & MAX_INTERVAL;
     let address = |octets: &[u8]| Ipv4Addr::new(octets[0], octets[1], octets[2], octets[3]);
     let addresses = addresses.chunks(ADDRESS_BYTES).map(address).collect();
     (interval > 0).then_some(Advertisement { id: header[1], priority: header[2], interval, addresses })
