--- a/crates/policy/src/action.rs
+++ b/crates/policy/src/action.rs
@@ -1,43 +1,44 @@
-//! What a controller wants done.
+//! The actions that a controller requests from its head.
 
 use crate::{BackendId, Micros, RequestId};
 
-/// Something to do.
+/// An action for the head to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Begin an attempt; the attempts of a request count from 0.
+    /// Send the next attempt of a request. The attempts of a request are numbered from 0.
     Send {
         /// The request.
         id: RequestId,
-        /// Where to.
+        /// The backend to send it to.
         backend: BackendId,
         /// When the attempt times out.
         timeout_at: Micros,
     },
-    /// Final answer: rejected, and safe to try again.
+    /// Give the client its final response: rejected, and safe to retry.
     Reject {
         /// The request.
         id: RequestId,
-        /// How long the client should wait before that; 0: no advice.
+        /// How long the client should wait before it retries; 0: no advice.
         retry_after: Micros,
     },
-    /// Final answer: failed, with no promise.
+    /// Give the client its final response: failed. The request may have run, and is not known to be safe to
+    /// retry.
     Fail {
         /// The request.
         id: RequestId,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt.
     Cancel {
         /// The request.
         id: RequestId,
-        /// The attempt.
+        /// The number of the attempt, from 0.
         attempt: u8,
     },
-    /// Ask for [`Event::Timer`](crate::Event::Timer) at a time.
+    /// Send [`Event::Timer`](crate::Event::Timer) at a time.
     SetTimer {
-        /// When.
+        /// When the timer expires.
         at: Micros,
-        /// Comes back with the event.
+        /// Identifies the timer; returned in the event.
         token: u64,
     },
     /// Check the health of a backend.
--- a/crates/policy/src/backend/concurrency_limit.rs
+++ b/crates/policy/src/backend/concurrency_limit.rs
@@ -1,18 +1,20 @@
-//! How many attempts may be in flight at a backend: additive increase, multiplicative decrease (AIMD).
+//! The number of attempts that may be in flight at a backend, adapted by additive increase and multiplicative
+//! decrease (AIMD).
 
 use crate::Micros;
 
-/// Attempts that may be in flight at first: the design's "a few".
+/// Limit of a new backend.
 const INITIAL_LIMIT: f64 = 4.0;
-/// The most attempts in flight (the design's figure).
+/// Upper bound of the limit.
 const MAX_LIMIT: f64 = 32.0;
-/// Factor of a decrease. Taken over with the decision module; what it was tuned against is not recorded.
+/// Factor by which a decrease multiplies the limit.
 const DECREASE_FACTOR: f64 = 0.85;
 
-/// The concurrency limit of one backend, never under 1.
+/// The concurrency limit of one backend, never below 1.
 #[derive(Clone, Debug)]
 pub(crate) struct ConcurrencyLimit {
     limit: f64,
+    /// When a slow response last decreased the limit.
     decreased_at: Micros,
 }
 
@@ -23,36 +25,36 @@
 }
 
 impl ConcurrencyLimit {
-    /// Whether so many attempts in flight leave no place for another.
+    /// Whether `in_flight` attempts leave no slot for another.
     pub(crate) fn is_reached(&self, in_flight: u32) -> bool {
         f64::from(in_flight) >= self.limit.floor()
     }
 
-    /// So many requests as a multiple of the limit.
+    /// A number of requests as a multiple of the limit.
     pub(crate) fn utilization(&self, requests: f64) -> f64 {
         requests / self.limit
     }
 
-    /// A response was quick. The limit rises by one for each limit's worth of such responses, while it is in
-    /// use.
+    /// Handles a fast response. The limit rises by about one for as many fast responses as the limit, and
+    /// only while the attempts in flight use it up.
     pub(crate) fn increase(&mut self, in_flight: u32) {
-        let is_in_use = f64::from(in_flight) + 1.0 >= self.limit.floor();
-        if is_in_use {
+        let is_fully_used = f64::from(in_flight) + 1.0 >= self.limit.floor();
+        if is_fully_used {
             self.limit = (self.limit + 1.0 / self.limit).min(MAX_LIMIT);
         }
     }
 
-    /// A response was slow. The limit falls at most once for all attempts that were in flight at its last
-    /// fall.
+    /// Handles a slow response to an attempt sent at `sent_at`. All attempts that were in flight at the last
+    /// decrease together cause no further one.
     pub(crate) fn decrease(&mut self, sent_at: Micros, now: Micros) {
         if sent_at >= self.decreased_at {
-            self.decrease_at_once();
+            self.decrease_unconditionally();
             self.decreased_at = now;
         }
     }
 
-    /// The backend rejected a request, being full.
-    pub(crate) fn decrease_at_once(&mut self) {
+    /// Handles a rejection by the backend, which was full.
+    pub(crate) fn decrease_unconditionally(&mut self) {
         self.limit = (self.limit * DECREASE_FACTOR).max(1.0);
     }
 }
--- a/crates/policy/src/backend/mod.rs
+++ b/crates/policy/src/backend/mod.rs
@@ -1,12 +1,12 @@
-//! One backend as this head sees it, its state grouped by what it is for.
+//! The state that this head keeps of one backend, grouped by purpose.
 //!
 //! | part | question |
 //! | --- | --- |
-//! | [`Health`] | Can it be reached? |
+//! | [`Health`] | Is it available? |
 //! | [`Latency`] | How long will a response take, and is that too long? |
 //! | [`ConcurrencyLimit`] | How many attempts may be in flight? |
-//! | [`RateControl`] | How many units a second may be sent, and of which volumes? |
-//! | [`SlowStart`] | How much does it bear just after its start? |
+//! | [`RateControl`] | How many units per second may be sent, and for which volumes? |
+//! | [`SlowStart`] | How many units may be sent while it is warming up after a start? |
 
 mod concurrency_limit;
 mod health;
@@ -25,19 +25,19 @@
 use concurrency_limit::ConcurrencyLimit;
 use health::Health;
 use latency::Latency;
-use rate_control::PeriodEnd;
+use rate_control::PeriodInput;
 use slow_start::SlowStart;
 
-/// One backend.
+/// The state of one backend.
 #[derive(Clone, Debug)]
 pub(crate) struct Backend {
     /// The shard that it holds.
     pub(crate) shard: u32,
     /// Whether it takes requests, by the endpoint list.
     pub(crate) readiness: Readiness,
-    /// The requests that wait for it.
+    /// The requests that are queued at it.
     pub(crate) queue: DeadlineQueue,
-    /// Attempts without an outcome, less those that are stalled.
+    /// Number of attempts in flight, not counting the stalled ones.
     pub(crate) in_flight: u32,
     /// When an attempt was last sent.
     last_send_at: Micros,
@@ -49,8 +49,7 @@
 }
 
 impl Backend {
-    /// A backend that is heard of for the first time. Its latency objective is the tightest of all classes
-    /// until requests are sent there.
+    /// A backend that becomes known at `now`. Its latency objective is at first the shortest of all classes.
     fn new(objective: Micros, now: Micros) -> Backend {
         Backend {
             shard: 0,
@@ -66,8 +65,8 @@
         }
     }
 
-    /// It is a new process: what was learned of the old one is void; what is in flight, waits, and is
-    /// demanded stays.
+    /// Resets the state after a restart of the backend's process, except for the attempts in flight, the
+    /// queue and the volumes' demands.
     fn restart(&mut self, objective: Micros, now: Micros) {
         let fresh = Backend::new(objective, now);
         let old = std::mem::replace(self, fresh);
@@ -76,61 +75,62 @@
         self.rate_control = old.rate_control.restarted();
     }
 
-    /// The latency expected of a response now, in microseconds. Silence counts before the response comes.
+    /// The latency expected of a request sent now, in microseconds; at least the time without a response
+    /// while attempts are in flight.
     pub(crate) fn expected_latency(&self, now: Micros) -> f64 {
         let expected = self.latency.expected(now);
-        if self.in_flight > 0 { expected.max(self.health.silence(now) as f64) } else { expected }
+        if self.in_flight > 0 { expected.max(self.health.time_since_response(now) as f64) } else { expected }
     }
 
-    /// Whether attempts are in flight and nothing was sent or received for suspiciously long.
-    pub(crate) fn is_silent(&self, now: Micros) -> bool {
-        let last_sign_at = self.health.last_response_at().max(self.last_send_at);
-        self.in_flight > 0 && now > last_sign_at + self.latency.suspicion_timeout()
+    /// Whether attempts are in flight and nothing was sent or received for the suspicion timeout.
+    pub(crate) fn is_unresponsive(&self, now: Micros) -> bool {
+        let last_activity_at = self.health.last_response_at().max(self.last_send_at);
+        self.in_flight > 0 && now > last_activity_at + self.latency.suspicion_timeout()
     }
 
-    /// Whether its concurrency limit or its rate has nothing left.
+    /// Whether its concurrency limit or its rate allows no further attempt.
     pub(crate) fn is_at_limit(&mut self, max_units: f64, now: Micros) -> bool {
         let is_limit_reached = self.concurrency_limit.is_reached(self.in_flight);
         let is_rate_exhausted = self.rate_control.is_exhausted(max_units, now);
         is_limit_reached || is_rate_exhausted
     }
 
-    /// Units that may be sent now without overloading it in its slow start.
+    /// Units that may be sent now without overloading it in slow start; infinite outside of slow start.
     pub(crate) fn slow_start_allowance(&mut self, settings: &Settings, now: Micros) -> f64 {
         self.slow_start.allowance(settings, self.rate_control.typical_demand(), now)
     }
 
-    /// Notes a request that is sent to it.
+    /// Records an attempt that is sent to it.
     pub(crate) fn on_send(&mut self, units: f64, objective: Micros, now: Micros) {
         if self.in_flight == 0 {
-            self.health.begin_silence(now);
+            self.health.restart_response_clock(now);
         }
         self.last_send_at = now;
         self.in_flight += 1;
         self.rate_control.on_send(units);
         self.slow_start.charge(units);
-        self.latency.tighten_objective(objective);
+        self.latency.lower_objective(objective);
     }
 
-    /// Frees the places of so many attempts.
+    /// Releases the concurrency slots of a number of attempts.
     pub(crate) fn release(&mut self, attempts: u32) {
         self.in_flight = self.in_flight.saturating_sub(attempts);
     }
 
-    /// Learns from a response that served a request.
+    /// Records a response that served a request.
     pub(crate) fn on_response(&mut self, attempt: &Attempt, latency: Micros, now: Micros) {
         self.record_response(attempt, latency as f64, now);
     }
 
-    /// Learns from an error. However quick, it counts as a whole latency objective, so that a backend which
-    /// fails all it gets is avoided like a slow one.
+    /// Records an error response. Its latency counts as at least the latency objective, so that a backend
+    /// which fails every request quickly is avoided like a slow one.
     pub(crate) fn on_error(&mut self, attempt: &Attempt, latency: Micros, now: Micros) {
         let objective = self.latency.objective() as f64;
         self.record_response(attempt, (latency as f64).max(objective), now);
     }
 
     fn record_response(&mut self, attempt: &Attempt, latency: f64, now: Micros) {
-        self.begin_slow_start_after_silence(attempt, now);
+        self.begin_slow_start_after_outage(attempt, now);
         self.health.on_response(now);
         self.latency.record(latency, now);
         self.rate_control.on_response(latency, attempt.units);
@@ -141,31 +141,30 @@
         }
     }
 
-    /// It responds again after a silence: perhaps a new process that no list has told of yet.
-    ///
-    /// Guards against overloading it; harms a backend that was only cut off, by a slow start.
-    fn begin_slow_start_after_silence(&mut self, attempt: &Attempt, now: Micros) {
-        if self.health.is_back_after(self.latency.objective().max(SECOND), now) {
+    /// Begins a slow start if this response ends an outage: the backend may be a new process that the
+    /// endpoint list does not show yet, and could be overloaded. A backend that was only disconnected goes
+    /// through a slow start without need.
+    fn begin_slow_start_after_outage(&mut self, attempt: &Attempt, now: Micros) {
+        if self.health.is_recovering_after(self.latency.objective().max(SECOND), now) {
             self.slow_start.begin(attempt.sent_at, attempt.units, now);
         }
     }
 
-    /// Learns from a rejection.
+    /// Records a rejection.
     pub(crate) fn on_rejection(&mut self, now: Micros) {
         self.health.on_rejection(now);
-        self.concurrency_limit.decrease_at_once();
+        self.concurrency_limit.decrease_unconditionally();
     }
 
-    /// Learns from a connection that could not be made.
+    /// Records a connection that could not be established.
     pub(crate) fn on_connection_failure(&mut self, now: Micros) {
         self.health.on_connection_failure(now);
     }
 
-    /// Learns from a connection that broke.
+    /// Records a connection that broke.
     ///
-    /// Guards against taking kept connections that were closed without notice for an unavailable backend:
-    /// resets alone do not make one so that responded a moment ago. Harms one that dies then, by a few
-    /// attempts.
+    /// A backend that has just responded does not become unavailable by resets alone: they may come from idle
+    /// connections that it closed without notice. A backend that died just then gets a few more attempts.
     pub(crate) fn on_reset(&mut self, now: Micros) {
         if self.latency.is_sampled_within_objective(now) {
             self.health.on_reset_after_response(now);
@@ -174,9 +173,9 @@
         }
     }
 
-    /// Learns from a timeout. The response was still to come: it counts as twice as late, at a backend that
-    /// was quicker. Where later attempts were answered it is this one that is stalled, and tells nothing of
-    /// the backend.
+    /// Records a timeout. The latency of the missing response is unknown; twice the timeout counts as a
+    /// sample, or the mean latency if that is longer. If a later attempt got its response first, only this
+    /// attempt is stalled, and nothing is recorded.
     pub(crate) fn on_timeout(&mut self, attempt: &Attempt, latency: Micros, now: Micros) {
         if attempt.is_overtaken() {
             return;
@@ -186,9 +185,8 @@
         self.concurrency_limit.decrease(attempt.sent_at, now);
     }
 
-    /// Ends a control period.
     fn end_period(&mut self, quotas: &VolumeQuotas, settings: &Settings) {
-        self.rate_control.end_period(&PeriodEnd {
+        self.rate_control.end_period(&PeriodInput {
             objective: self.latency.objective(),
             mean_latency: self.latency.mean(),
             is_idle: self.in_flight == 0,
--- a/crates/policy/src/backend/rate_control.rs
+++ b/crates/policy/src/backend/rate_control.rs
@@ -1,9 +1,8 @@
-//! The rate of one backend: set by its regulator once a control period, and divided among the volumes in
-//! bands.
+//! The rate of one backend, which its regulator sets once per control period, and its division among the
+//! volumes: reservations first, then weighted fair shares of the rest, with unused shares passed on.
 //!
-//! Owns the regulator, the totals of the present period, and what each volume demands of the backend through
-//! this head. The bands are the design's: reservations first, then weighted fair shares, unused share passing
-//! on.
+//! Owns the regulator, the totals of the current period, and each volume's demand on the backend through this
+//! head.
 
 use crate::fair_share::{WeightedDemand, fair_share_level};
 use crate::quota::{VolumeQuota, VolumeQuotas};
@@ -12,65 +11,67 @@
 use crate::{Micros, Settings};
 use std::collections::BTreeMap;
 
-/// Requests a second that the ceiling grants a backend at the least: enough for a fit of the model.
+/// Lower bound of the ceiling, in mean requests per second: enough samples for a fit of the regulator's
+/// model.
 const MIN_CEILING_REQUESTS: f64 = 6.0;
-/// Multiple of what was offered, and of the demand of volumes without a limit, that the ceiling grants (the
-/// design's figure).
+/// The ceiling is at least this multiple of the offered load, and counts the demand of a volume without a
+/// limit with this factor.
 const CEILING_MULTIPLE: f64 = 2.0;
-/// Weight of the last period in a volume's demand: a memory of two periods, as surges start within one.
+/// Weight of the last period in the moving average of a volume's demand: about two periods count, because
+/// surges start within one.
 const DEMAND_WEIGHT: f64 = 0.5;
-/// Demand, in units a second, under which a volume's is forgotten.
+/// Demand, in units per second, below which a volume's entry is dropped.
 const MIN_DEMAND: f64 = 1e-3;
-/// Seconds of the rate that a backend over its latency objective may be sent at once.
-const PACING_BURST: f64 = 0.1;
+/// Burst that a backend above its latency objective may be sent, in seconds of its rate.
+const PACING_BURST_SECONDS: f64 = 0.1;
 
-/// What one volume demands of one backend through this head.
+/// The demand of one volume on one backend through this head.
 #[derive(Clone, Debug, Default)]
 struct VolumeDemand {
-    /// Units in the present period.
+    /// Units offered in the current period.
     offered: f64,
-    /// Moving average, in units a second.
+    /// Moving average of the offered load, in units per second.
     rate: f64,
-    /// What its fair share has left.
+    /// The tokens left of its fair share.
     share: TokenBucket,
 }
 
-/// What happened at one backend in the present period.
+/// What was counted at one backend in the current period.
 #[derive(Clone, Debug, Default)]
 struct PeriodTotals {
     responses: u32,
-    /// Sum of their latencies, in microseconds.
+    /// Sum of the latencies of the responses, in microseconds.
     latency: f64,
-    /// Units of the requests that were to be sent there.
+    /// Units of the requests that were queued there on arrival.
     offered: f64,
     /// Units that were sent.
     sent: f64,
-    /// Units of the attempts that were answered.
+    /// Units of the attempts that got a response.
     served: f64,
 }
 
-/// What the demands of all volumes come to.
+/// The demands of all volumes together.
 #[derive(Default)]
 struct TotalDemand {
-    /// The part within the reservations, in units a second.
+    /// The demand within the reservations, in units per second.
     reserved: f64,
-    /// Summed limits of the volumes, one without a limit counting as a multiple of its demand.
+    /// Sum of the volumes' limits; a volume without a limit counts with a multiple of its demand.
     limits: f64,
-    /// The rest of each volume's demand, with its weight.
+    /// Each volume's demand beyond its reservation, with its weight.
     unreserved: Vec<WeightedDemand>,
 }
 
-/// What the end of a control period depends on besides the rate control itself.
-pub(super) struct PeriodEnd<'a> {
-    /// The latency target, in microseconds.
+/// The state outside of the rate control that the end of a control period depends on.
+pub(super) struct PeriodInput<'a> {
+    /// The latency objective, which is the regulator's target.
     pub(super) objective: Micros,
-    /// The latency that counts where no response came, in microseconds.
+    /// The backend's moving average of the latency in microseconds, used for a period without responses.
     pub(super) mean_latency: f64,
-    /// Nothing is in flight.
+    /// Whether the backend has no attempt in flight.
     pub(super) is_idle: bool,
-    /// Requests wait for the concurrency limit.
+    /// Whether requests are queued at the backend.
     pub(super) has_queue: bool,
-    /// The plans of the volumes.
+    /// The quotas of the volumes.
     pub(super) quotas: &'a VolumeQuotas,
     /// The settings of the head.
     pub(super) settings: &'a Settings,
@@ -80,14 +81,14 @@
 #[derive(Clone, Debug)]
 pub(crate) struct RateControl {
     regulator: SelfTuningRegulator,
-    /// Holds back what is sent while the backend is over its objective.
+    /// Limits what is sent to the regulator's rate while the backend is above its objective.
     pacing: TokenBucket,
-    /// Whether the mean latency of the last period was over the objective.
+    /// Whether the mean latency of the last period was above the objective.
     is_over_objective: bool,
-    /// Units a second and weight that each volume is granted; infinite where all demands fit.
+    /// Fair share of a volume in units per second, for each unit of weight; infinite if all demands fit.
     fair_share_level: f64,
     demands: BTreeMap<u64, VolumeDemand>,
-    /// Units a second that volumes demand, each counted without surges.
+    /// Demand of all volumes in units per second, each capped at its highest demand without a surge.
     typical_demand: f64,
     totals: PeriodTotals,
 }
@@ -107,39 +108,40 @@
 }
 
 impl RateControl {
-    /// That of a backend that was replaced by a new process: the demands stay, what was learned does not.
+    /// The rate control after a restart of the backend's process: only the volumes' demands are kept.
     pub(super) fn restarted(self) -> RateControl {
         RateControl { demands: self.demands, ..RateControl::default() }
     }
 
-    /// Units a second that volumes demand here, each counted without surges.
+    /// Demand of all volumes in units per second, each capped at its highest demand without a surge.
     pub(crate) fn typical_demand(&self) -> f64 {
         self.typical_demand
     }
 
-    /// Notes a request for a volume that is to be sent here.
+    /// Records a request for a volume that is queued at the backend on arrival.
     pub(crate) fn on_demand(&mut self, volume: u64, units: f64) {
         self.totals.offered += units;
         self.demands.entry(volume).or_default().offered += units;
     }
 
-    /// Notes a request that is sent.
+    /// Records an attempt that is sent.
     pub(crate) fn on_send(&mut self, units: f64) {
         self.pacing.take(units);
         self.totals.sent += units;
     }
 
-    /// Notes a response to a request, with its latency in microseconds.
+    /// Records a response, with its latency in microseconds.
     pub(crate) fn on_response(&mut self, latency: f64, units: f64) {
         self.totals.responses += 1;
         self.totals.latency += latency;
         self.totals.served += units;
     }
 
-    /// Whether the backend is over its objective and has been sent what its rate allows.
+    /// Whether the backend is above its latency objective and its rate allows nothing more now.
     pub(crate) fn is_exhausted(&mut self, max_units: f64, now: Micros) -> bool {
         let rate = self.regulator.rate;
-        self.is_over_objective && self.pacing.refill(now, rate, rate * PACING_BURST + max_units) <= 0.0
+        self.is_over_objective
+            && self.pacing.refill(now, rate, rate * PACING_BURST_SECONDS + max_units) <= 0.0
     }
 
     /// Whether all demands fit into the rate.
@@ -147,7 +149,8 @@
         self.fair_share_level.is_infinite()
     }
 
-    /// Whether a volume has fair share left. It saves up to a second of its share and the largest request.
+    /// Whether a volume has fair share left. It accumulates up to one second of its share plus the largest
+    /// request.
     pub(crate) fn has_share_left(&mut self, volume: u64, weight: f64, max_units: f64, now: Micros) -> bool {
         let rate = self.fair_share_level * weight;
         let demand = self.demands.entry(volume).or_default();
@@ -159,31 +162,31 @@
         self.demands.entry(volume).or_default().share.take(units);
     }
 
-    /// Ends a control period: the regulator sets the rate, which is divided among the volumes.
-    pub(super) fn end_period(&mut self, end: &PeriodEnd) {
-        let demand = self.total_demand(end.quotas);
+    /// Ends a control period: the regulator sets the rate, which is then divided among the volumes.
+    pub(super) fn end_period(&mut self, input: &PeriodInput) {
+        let demand = self.total_demand(input.quotas);
         let totals = std::mem::take(&mut self.totals);
         let has_responses = totals.responses > 0;
         let mean_latency =
-            if has_responses { totals.latency / f64::from(totals.responses) } else { end.mean_latency };
-        let objective = end.objective as f64;
+            if has_responses { totals.latency / f64::from(totals.responses) } else { input.mean_latency };
+        let objective = input.objective as f64;
         self.regulator.update(PeriodSample {
             responses: totals.responses,
             latency: mean_latency / objective,
             sent: totals.sent,
             served: totals.served,
-            ceiling: ceiling(&totals, &demand, end.settings),
-            is_idle: totals.sent == 0.0 && end.is_idle,
+            ceiling: ceiling(&totals, &demand, input.settings),
+            is_idle: totals.sent == 0.0 && input.is_idle,
         });
         self.is_over_objective = has_responses && mean_latency > objective;
-        // Departure: while requests wait here for the concurrency limit, the backend takes what it takes, and
-        // that is what there is to divide; the regulator's rate is above it then.
+        // Departure from the paper: while requests are queued, the concurrency limit and not the regulator's
+        // rate bounds what the backend serves, so only the served rate is divided.
         let rate = self.regulator.rate;
-        let rate = if end.has_queue { rate.min(totals.served) } else { rate };
+        let rate = if input.has_queue { rate.min(totals.served) } else { rate };
         self.fair_share_level = fair_share_level(rate - demand.reserved, &demand.unreserved);
     }
 
-    /// Takes the period into each volume's demand, and adds the demands up.
+    /// Updates each volume's demand with the period that ends, and sums the demands.
     fn total_demand(&mut self, quotas: &VolumeQuotas) -> TotalDemand {
         let mut total = TotalDemand::default();
         self.typical_demand = 0.0;
@@ -210,8 +213,8 @@
     }
 }
 
-/// The largest rate worth setting: the largest of twice what was offered, a few requests, and the volumes'
-/// limits.
+/// The ceiling of the regulator's rate: the maximum of twice the offered load, a few requests per second, and
+/// the sum of the volumes' limits.
 fn ceiling(totals: &PeriodTotals, demand: &TotalDemand, settings: &Settings) -> f64 {
     let few_requests = MIN_CEILING_REQUESTS * settings.mean_units;
     (CEILING_MULTIPLE * totals.offered).max(few_requests).max(demand.limits)
--- a/crates/policy/src/backend/set.rs
+++ b/crates/policy/src/backend/set.rs
@@ -1,80 +1,80 @@
-//! All backends, and which of them take requests.
+//! All known backends, and which of them are ready.
 
 use super::Backend;
 use crate::quota::VolumeQuotas;
-use crate::request::QueuedRequest;
+use crate::request::OpenRequest;
 use crate::{BackendId, Endpoint, Micros, Readiness, RequestId, Settings};
 use std::collections::BTreeMap;
 
-/// All backends that the endpoint list names, or that have something in flight still.
+/// All backends that are in the endpoint list, or still have attempts in flight or requests queued.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct BackendSet {
     by_id: BTreeMap<BackendId, Backend>,
-    /// Those that take requests, in order.
+    /// The ready backends, in order of their identifiers.
     ready: Vec<BackendId>,
-    /// The same, by shard.
+    /// The ready backends of each shard, in order of their identifiers.
     ready_by_shard: BTreeMap<u32, Vec<BackendId>>,
 }
 
 impl BackendSet {
-    /// A backend, unless it has been removed.
+    /// The backend with an identifier, if it is known.
     pub(crate) fn get(&self, id: BackendId) -> Option<&Backend> {
         self.by_id.get(&id)
     }
 
-    /// A backend, unless it has been removed.
+    /// The backend with an identifier, if it is known.
     pub(crate) fn get_mut(&mut self, id: BackendId) -> Option<&mut Backend> {
         self.by_id.get_mut(&id)
     }
 
-    /// The identities of all backends, in order.
+    /// The identifiers of all backends, in order.
     pub(crate) fn ids(&self) -> Vec<BackendId> {
         self.by_id.keys().copied().collect()
     }
 
-    /// The backends that take requests for a shard, in order.
+    /// The ready backends of a shard, in order of their identifiers.
     pub(crate) fn ready_in_shard(&self, shard: u32) -> &[BackendId] {
         self.ready_by_shard.get(&shard).map_or(&[], Vec::as_slice)
     }
 
-    /// All backends that take requests, in order.
+    /// All ready backends, in order of their identifiers.
     pub(crate) fn ready(&self) -> &[BackendId] {
         &self.ready
     }
 
-    /// Puts a request into the queue of a backend.
-    pub(crate) fn enqueue(&mut self, id: RequestId, request: &mut QueuedRequest, backend_id: BackendId) {
+    /// Adds a request to the queue of a backend.
+    pub(crate) fn enqueue(&mut self, id: RequestId, request: &mut OpenRequest, backend_id: BackendId) {
         if let Some(backend) = self.by_id.get_mut(&backend_id) {
-            backend.queue.insert(request.due_at, id);
+            backend.queue.insert(request.objective_deadline, id);
             request.queued_at = Some(backend_id);
         }
     }
 
-    /// Takes a request out of the queue that it is in, if any.
-    pub(crate) fn dequeue(&mut self, id: RequestId, request: &mut QueuedRequest) {
+    /// Removes a request from the queue that it is in, if any.
+    pub(crate) fn dequeue(&mut self, id: RequestId, request: &mut OpenRequest) {
         let backend_id = request.queued_at.take();
         if let Some(backend) = backend_id.and_then(|backend_id| self.by_id.get_mut(&backend_id)) {
-            backend.queue.remove(request.due_at, id);
+            backend.queue.remove(request.objective_deadline, id);
         }
     }
 
-    /// Lets the silence of every backend count from now on only.
-    pub(crate) fn begin_silence(&mut self, now: Micros) {
-        self.by_id.values_mut().for_each(|backend| backend.health.begin_silence(now));
+    /// Counts the time without a response of every backend from `now` on.
+    pub(crate) fn restart_response_clocks(&mut self, now: Micros) {
+        self.by_id.values_mut().for_each(|backend| backend.health.restart_response_clock(now));
     }
 
-    /// Ends a control period at every backend.
+    /// Ends the control period of every backend.
     pub(crate) fn end_period(&mut self, quotas: &VolumeQuotas, settings: &Settings) {
         self.by_id.values_mut().for_each(|backend| backend.end_period(quotas, settings));
     }
 
-    /// Takes every backend for removed, until a complete list names it again.
+    /// Marks every backend as removed; the entries of the complete list that follows undo this.
     pub(crate) fn mark_all_removed(&mut self) {
         self.by_id.values_mut().for_each(|backend| backend.readiness = Readiness::Removed);
     }
 
-    /// Takes in what the list says of a backend, and returns it and whether it is a new process. Its latency
-    /// objective is used while nothing was sent there.
+    /// Applies an entry of the endpoint list; returns the backend, and whether its process has restarted.
+    /// `objective` is the latency objective of a new process until requests are sent to it.
     pub(crate) fn update(
         &mut self,
         endpoint: &Endpoint,
@@ -88,12 +88,12 @@
         }
         backend.shard = endpoint.shard;
         backend.readiness = endpoint.readiness;
-        backend.slow_start.note_start(endpoint.started_at);
+        backend.slow_start.record_start(endpoint.started_at);
         (backend, has_restarted)
     }
 
-    /// Forgets removed backends that have nothing left, works out which ones take requests, and returns the
-    /// requests that wait for one that does not.
+    /// Drops removed backends without attempts and requests, lists the ready ones anew, and returns the
+    /// requests that were queued at backends which are not ready.
     pub(crate) fn finish_update(&mut self) -> Vec<RequestId> {
         self.by_id.retain(|_, backend| {
             let is_in_use = backend.in_flight > 0 || !backend.queue.is_empty();
--- a/crates/policy/src/controller.rs
+++ b/crates/policy/src/controller.rs
@@ -1,5 +1,5 @@
-//! The controller: an event in, actions out. Read [`Controller::handle`] first; each step names the module
-//! that decides it, and nothing is worked out here.
+//! The controller, which turns events into actions. [`Controller::handle`] is the entry point; it dispatches
+//! each event to the module that decides about it.
 
 use crate::attempt::AttemptsInFlight;
 use crate::backend::BackendSet;
@@ -7,14 +7,14 @@
 use crate::key_order::KeyOrder;
 use crate::quota::VolumeQuotas;
 use crate::random::SplitMix64;
-use crate::request::{FirstAttemptTimes, QueuedRequest};
+use crate::request::{FirstAttemptTimeouts, OpenRequest};
 use crate::retry::RetryBudget;
 use crate::timers::{Timer, Timers};
 use crate::{Action, Event, Micros, RequestId, Settings, UpdateScope};
 use std::collections::BTreeMap;
 
-/// Decides for one head. It knows its settings, its seed and its own events only; equal ones give equal
-/// actions.
+/// Decides for one head. It depends only on its settings, its seed and its events: the same input gives the
+/// same actions.
 #[derive(Clone, Debug, Default)]
 pub struct Controller {
     pub(crate) settings: Settings,
@@ -23,27 +23,28 @@
     pub(crate) polling: EndpointPolling,
     pub(crate) backends: BackendSet,
     pub(crate) quotas: VolumeQuotas,
-    /// Requests without a final answer.
-    pub(crate) requests: BTreeMap<RequestId, QueuedRequest>,
-    /// Attempts without an outcome. One may outlive its request.
+    /// Requests without a final response.
+    pub(crate) requests: BTreeMap<RequestId, OpenRequest>,
+    /// Attempts that have not ended. An attempt may outlive its request.
     pub(crate) attempts: AttemptsInFlight,
     pub(crate) key_order: KeyOrder,
     pub(crate) retry_budget: RetryBudget,
-    pub(crate) first_attempt_times: FirstAttemptTimes,
+    pub(crate) first_attempt_timeouts: FirstAttemptTimeouts,
 }
 
 impl Controller {
-    /// A controller with its settings and the seed of its random numbers.
+    /// Creates a controller; `seed` initializes its random numbers.
     pub fn new(settings: Settings, seed: u64) -> Controller {
         let random = SplitMix64::new(seed);
-        let first_attempt_times = FirstAttemptTimes::new(settings.classes.len());
-        Controller { settings, random, first_attempt_times, ..Controller::default() }
+        let first_attempt_timeouts = FirstAttemptTimeouts::new(settings.classes.len());
+        Controller { settings, random, first_attempt_timeouts, ..Controller::default() }
     }
 
-    /// Takes one event at a time that never moves back, and adds what is to be done to `actions`.
+    /// Handles one event and appends the resulting actions to `actions`. `now` must not decrease from call to
+    /// call.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         self.start_once(now, actions);
-        self.excuse_own_stall(now);
+        self.discount_own_stall(now);
         match event {
             Event::EndpointList { scope: UpdateScope::Failed, .. } => self.on_poll_failure(now, actions),
             Event::EndpointList { scope, endpoints } => {
@@ -56,10 +57,10 @@
             Event::Timer { token } => self.on_timer(now, token, actions),
             Event::HealthCheckEnded { .. } => {}
         }
-        self.set_next_sweep(now, actions);
+        self.schedule_next_sweep(now, actions);
     }
 
-    /// On the first event: begins the first control period, and opens the watch on the endpoint list.
+    /// On the first event, begins the first control period and opens the watch on the endpoint list.
     fn start_once(&mut self, now: Micros, actions: &mut Vec<Action>) {
         if self.timers.are_started() {
             return;
@@ -70,12 +71,15 @@
         }
     }
 
-    /// Guards against reading a stall of its own as the silence of all backends: a timer that comes far too
-    /// late tells of it. Covers pauses of the machine and jumps of the clock as well; harms where a backend
-    /// did fall silent meanwhile, by one latency objective.
-    fn excuse_own_stall(&mut self, now: Micros) {
+    /// After a stall of the head itself, counts the time without a response of every backend from now on, so
+    /// that the stall does not make all backends look unresponsive.
+    ///
+    /// A control period that ends far too late shows the stall; pauses of the machine and jumps of the clock
+    /// are covered as well. A backend that did become unresponsive meanwhile is detected later by one latency
+    /// objective.
+    fn discount_own_stall(&mut self, now: Micros) {
         if self.timers.head_has_stalled(now) {
-            self.backends.begin_silence(now);
+            self.backends.restart_response_clocks(now);
         }
     }
 
@@ -86,36 +90,35 @@
                 self.timers.on_sweep();
                 self.sweep(now, actions);
             }
-            Some(Timer::Poll) => self.poll_if_due(now, actions),
+            Some(Timer::Poll) => self.poll_unless_postponed(now, actions),
             None => {}
         }
     }
 
-    /// Ends a control period: sets the rate of every backend, and forgets what is idle.
+    /// Ends a control period: sets the rate of every backend and drops idle volumes and keys.
     fn end_period(&mut self, now: Micros, actions: &mut Vec<Action>) {
         actions.push(self.timers.start_period(now));
         self.backends.end_period(&self.quotas, &self.settings);
-        self.quotas.forget_idle(&self.settings.classes, now);
-        self.key_order.forget_idle(now);
+        self.quotas.drop_idle(&self.settings.classes, now);
+        self.key_order.drop_idle(now);
         self.sweep(now, actions);
     }
 
-    /// A response has begun to arrive: its request is not retried any more.
+    /// The response to a request has begun to arrive: the request is not retried any more.
     fn on_response_start(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.is_streaming = true;
         }
     }
 
-    /// Forgets a request that has ended. Its attempts in flight are forgotten with their outcomes.
+    /// Removes a request that has ended. Its attempts in flight are removed when they end.
     pub(crate) fn remove_request(&mut self, id: RequestId) {
         let Some(mut request) = self.requests.remove(&id) else { return };
         self.backends.dequeue(id, &mut request);
         self.release_key(id, request.spec.key);
     }
 
-    /// Lets the next request of a key run, once this one has ended and none of its attempts is without an
-    /// outcome.
+    /// Lets the next request of a key run once this request has ended and has no attempt in flight.
     pub(crate) fn release_key(&mut self, id: RequestId, key: u64) {
         let is_open = self.requests.contains_key(&id) || self.attempts.has_any(id);
         if !is_open {
@@ -123,10 +126,10 @@
         }
     }
 
-    /// Sets the next sweep while a request waits.
-    fn set_next_sweep(&mut self, now: Micros, actions: &mut Vec<Action>) {
-        if !self.timers.has_sweep() && self.requests.values().any(|request| request.in_flight == 0) {
-            actions.push(self.timers.start_sweep(now));
+    /// Schedules the next sweep if a request has no attempt in flight.
+    fn schedule_next_sweep(&mut self, now: Micros, actions: &mut Vec<Action>) {
+        if !self.timers.is_sweep_set() && self.requests.values().any(|request| request.in_flight == 0) {
+            actions.push(self.timers.schedule_sweep(now));
         }
     }
 }
--- a/crates/policy/src/event.rs
+++ b/crates/policy/src/event.rs
@@ -1,41 +1,42 @@
-//! What a head tells its controller.
+//! The events that a head reports to its controller.
 
 use crate::{BackendId, Micros, RequestId};
 
-/// Something that happened.
+/// An event for the controller to handle.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// An update of the endpoint list.
+    /// The endpoint list was updated, or could not be read.
     EndpointList {
         /// What the update covers.
         scope: UpdateScope,
-        /// The endpoints in it.
+        /// The endpoints in the update.
         endpoints: Vec<Endpoint>,
     },
-    /// A request was received; it is owed one final answer.
+    /// A client's request was received. It has to get exactly one final response.
     Request(Request),
     /// An attempt ended.
     AttemptEnded(AttemptOutcome),
-    /// A streamed response has begun; the deadline of its attempt no longer runs.
+    /// A streamed response has begun; the timeout of its attempt no longer applies.
     ResponseStarted {
         /// The request.
         id: RequestId,
     },
-    /// A request ended without the controller: its client disconnected, or it got its answer elsewhere.
+    /// A request ended without an action of the controller: its client disconnected, or the head gave the
+    /// final response itself.
     RequestEnded {
         /// The request.
         id: RequestId,
     },
     /// A timer expired.
     Timer {
-        /// The token that it was set with.
+        /// The token of the [`Action::SetTimer`](crate::Action::SetTimer) that set it.
         token: u64,
     },
     /// A health check ended.
     HealthCheckEnded {
         /// The backend.
         backend: BackendId,
-        /// Whether it responded.
+        /// Whether the backend responded.
         healthy: bool,
     },
 }
@@ -43,38 +44,38 @@
 /// What an update of the endpoint list covers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpdateScope {
-    /// The complete list as it was last held; it may be stale.
+    /// The complete list from the head's cache; it may be stale.
     Cached,
-    /// The complete list.
+    /// The complete current list.
     Full,
-    /// Changes only.
+    /// Only the endpoints that changed.
     Delta,
-    /// There is no list: a poll failed or the watch broke.
+    /// Nothing: a poll failed or the watch broke.
     Failed,
 }
 
-/// Whether a backend takes requests.
+/// Whether a backend takes requests, by the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Readiness {
     /// It takes new requests.
     #[default]
     Ready,
-    /// It finishes what it has and takes nothing new.
+    /// It completes the requests it has and takes no new ones.
     Draining,
-    /// It is no longer there.
+    /// It is not in the list any more.
     Removed,
 }
 
-/// A backend as the endpoint list has it.
+/// An entry of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
     /// The backend.
     pub backend: BackendId,
     /// The shard that it holds.
     pub shard: u32,
-    /// Its zone.
+    /// The zone that it is in.
     pub zone: u16,
-    /// When it last started; 0: long ago.
+    /// When its process last started; 0: long ago.
     pub started_at: Micros,
     /// Whether it takes requests.
     pub readiness: Readiness,
@@ -83,66 +84,66 @@
 /// A client's request.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Request {
-    /// Its identity.
+    /// The identifier by which events and actions name it.
     pub id: RequestId,
-    /// Position of its class.
+    /// Index of its class in [`Settings::classes`](crate::Settings::classes).
     pub class: usize,
-    /// Position of its plan.
+    /// Index of its plan in [`Settings::plans`](crate::Settings::plans).
     pub plan: usize,
-    /// The item of data; 0: none.
+    /// The data item that it reads or changes, by which requests are ordered; 0: none.
     pub key: u64,
-    /// When the client gives up.
+    /// When the client stops waiting for a response.
     pub deadline: Micros,
-    /// The volume.
+    /// The volume that it is for.
     pub volume: u64,
-    /// Its size.
+    /// Its size, in units.
     pub units: f64,
-    /// The shard that holds the data; none: a new object, which any backend takes.
+    /// The shard that holds the data; `None`: a new object, which any backend takes.
     pub shard: Option<u32>,
-    /// Heads through which the volume's requests come.
+    /// Number of heads through which the volume's requests come.
     pub volume_heads: f64,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// Served.
+    /// The backend served it.
     Ok,
-    /// An error; it may have run.
+    /// The backend responded with an error; the request may have run.
     Error,
-    /// Rejected by the backend, which was full; it did not run.
+    /// The backend rejected it because it was full; the request did not run.
     Rejected,
-    /// No response in time; it may have run.
+    /// It timed out; the request may have run.
     Timeout,
-    /// The connection was refused or broke before the request was sent; it did not run.
+    /// The connection was refused or broke before the request was sent; the request did not run.
     ConnectFailed,
     /// The connection was not established in time; the request did not run.
     ConnectTimeout,
-    /// The connection broke; it may have run.
+    /// The connection broke after the request was sent; the request may have run.
     Reset,
-    /// Cancelled after it was sent; it may have run.
+    /// It was cancelled after it was sent; the request may have run.
     Cancelled,
-    /// Cancelled before it was sent; it did not run.
+    /// It was cancelled before it was sent; the request did not run.
     CancelledUnsent,
 }
 
-/// The end of an attempt.
+/// The outcome of an attempt, with the load report that came with the response.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptOutcome {
     /// The request.
     pub id: RequestId,
-    /// The attempt, from 0.
+    /// The number of the attempt, from 0.
     pub attempt: u8,
-    /// The backend.
+    /// The backend that it was sent to.
     pub backend: BackendId,
     /// How it ended.
     pub end: AttemptEnd,
     /// How long it took.
     pub latency: Micros,
-    /// The request has its final answer.
+    /// Whether the request has its final response.
     pub request_ended: bool,
-    /// Units a second that the volume was served by all backends in a finished period, as a multiple of the
-    /// plan's nominal rate.
+    /// The rate at which all backends served the volume in the last complete report period, as a multiple of
+    /// the plan's nominal rate; `None`: not reported.
     pub volume_usage: Option<f64>,
     /// Units that this backend served the volume through other heads since its last response to this head.
     pub units_via_other_heads: f64,
--- a/crates/policy/src/fair_share.rs
+++ b/crates/policy/src/fair_share.rs
@@ -1,12 +1,13 @@
-//! Weighted max-min fairness: how a rate is divided among demands that together exceed it.
+//! Weighted max-min fairness: the division of a rate among demands that together exceed it.
 //!
-//! A demand gets no more than it asks for, and what it leaves passes on to the others in proportion to their
-//! weights. The design divides each backend's rate so, once the reservations are taken off it.
+//! No demand gets more than its own rate; the share that it does not use is divided among the others in
+//! proportion to their weights. Each backend's rate is divided this way, after the reservations are
+//! subtracted.
 
-/// What one party demands of a rate that is divided.
+/// One demand for a part of the rate that is divided.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WeightedDemand {
-    /// The demanded rate, in units a second.
+    /// The demanded rate, in units per second.
     pub rate: f64,
     /// Its weight in the division.
     pub weight: f64,
@@ -18,8 +19,8 @@
     }
 }
 
-/// The level `L` at which the sum of `min(demand, L * weight)` is `rate` (water-filling); infinite where all
-/// demands fit. Demands without a rate or a weight are left out.
+/// The level `L` at which the sum of `min(demand, L * weight)` is `rate` (water-filling); infinite if all
+/// demands fit into the rate. Demands whose rate or weight is not positive are ignored.
 pub fn fair_share_level(rate: f64, demands: &[WeightedDemand]) -> f64 {
     let is_counted = |demand: &WeightedDemand| demand.rate > 0.0 && demand.weight > 0.0;
     let mut by_level: Vec<WeightedDemand> = demands.iter().copied().filter(is_counted).collect();
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,22 +1,22 @@
 //! Every decision of sedgerun: which backend gets a request, when it is sent, whether it is retried, and what
 //! load is shed.
 //!
-//! A head builds [`Settings`] once, makes a [`Controller`] from them, and feeds it one [`Event`] at a time
-//! with its own clock; each event adds [`Action`]s for the head to carry out. The crate has no I/O and no
-//! clock.
+//! A head builds [`Settings`] at startup, creates a [`Controller`] from them, and passes it one [`Event`] at
+//! a time with the time of the head's own clock. For each event the controller appends the [`Action`]s that
+//! the head has to carry out. The crate does no I/O and reads no clock.
 //!
 //! | question | module |
 //! | --- | --- |
 //! | What happens on an event, step by step? | `controller` |
-//! | Which backend does a request wait for? | `selection` |
+//! | Which backend is a request queued at? | `selection` |
 //! | Which request is sent next, and when? | `scheduling`, `queue`, `key_order` |
-//! | How much may a backend be sent? | `backend`: its rate, concurrency limit, health, slow start |
-//! | How is a backend's rate set? | [`regulator`] (Triage's self-tuning regulator) |
+//! | How much load may a backend be sent? | `backend`: its rate, concurrency limit, health, slow start |
+//! | How is a backend's rate set? | [`regulator`] (the self-tuning regulator of the Triage paper) |
 //! | How is that rate divided among volumes? | `quota` (reservations, limits), [`fair_share`] |
-//! | What is admitted, what is shed, and when? | `admission` |
+//! | Which requests are admitted, which are shed, and when? | `admission` |
 //! | Is a request retried? | `retry` |
-//! | What does the end of an attempt tell? | `outcome` |
-//! | What does the endpoint list change, and when is it polled? | `endpoints` |
+//! | What does the controller learn from the outcome of an attempt? | `outcome` |
+//! | What does an endpoint list update change, and when is the list polled? | `endpoints` |
 
 mod action;
 mod admission;
@@ -48,15 +48,14 @@
     Settings, SlowStartLimits,
 };
 
-/// A time or a span on the head's clock, in microseconds.
+/// A point in time or a duration on the head's clock, in microseconds.
 pub type Micros = u64;
 
-/// One second of the head's clock.
 const SECOND: Micros = 1_000_000;
 
-/// The identity of a backend; its value carries no meaning.
+/// Identifies a backend. The value is opaque.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct BackendId(pub u64);
 
-/// The identity of a request, unique for the life of a controller.
+/// Identifies a request; unique for the lifetime of a controller.
 pub type RequestId = u32;
--- a/crates/policy/src/outcome.rs
+++ b/crates/policy/src/outcome.rs
@@ -1,15 +1,15 @@
-//! What the end of an attempt tells: of its backend, of its key, and of its request.
+//! The effects of the end of an attempt on its backend, its ordering key and its request.
 
 use crate::attempt::Attempt;
 use crate::request::PossibleExecution;
 use crate::{Action, AttemptEnd, AttemptOutcome, Controller, Micros, Settings, retry};
 
-/// One request of each head is too much for a backend that has just started where it comes to more than this
-/// multiple of what the settings say it bears.
-const CROWDING_MULTIPLE: f64 = 2.0;
+/// One request from each head overloads a backend that has just started if it comes to more than this
+/// multiple of the safe units in the settings.
+const START_OVERLOAD_MULTIPLE: f64 = 2.0;
 
 impl Controller {
-    /// Learns from the end of an attempt, and decides what becomes of its request.
+    /// Records the outcome of an attempt, and completes or retries its request.
     pub(crate) fn on_attempt_end(
         &mut self,
         now: Micros,
@@ -18,27 +18,26 @@
     ) {
         let Some(attempt) = self.attempts.remove(outcome.id, outcome.attempt) else { return };
         self.suspect_restart(&attempt, outcome.end, now);
-        self.release_places(&attempt, outcome.end);
+        self.release_slots(&attempt, outcome.end);
         self.record_outcome(&attempt, outcome, now);
         self.pause_key(&attempt, outcome.end, now);
         self.record_at_request(&attempt, outcome);
-        self.conclude_or_retry(outcome, now, actions);
+        self.finish_or_retry(outcome, now, actions);
         self.release_key(outcome.id, attempt.key);
         self.dispatch_queued(attempt.backend, now, actions);
     }
 
-    /// Takes a backend that refuses a connection for one that has just started, where all heads together
-    /// would crowd it, before any list tells; so too after a few connections in a row that were not
-    /// established.
+    /// Begins a slow start at a backend that refused a connection, or at which a few connections in a row
+    /// timed out, if the heads together could overload a backend that has just started.
     ///
-    /// Guards against a crowd at a process that has just started. Harms one whose connections were full, by a
-    /// slow start.
+    /// The backend may have restarted before the endpoint list says so. A backend that only had too many
+    /// connections goes through a slow start without need.
     fn suspect_restart(&mut self, attempt: &Attempt, end: AttemptEnd, now: Micros) {
-        if !heads_would_crowd_a_start(&self.settings) {
+        if !heads_could_overload_start(&self.settings) {
             return;
         }
-        // Drawn at the end of every attempt, used or not: the later random numbers do not depend on how it
-        // ended.
+        // Drawn at the end of every attempt, used or not, so that later random numbers do not depend on how
+        // the attempt ended.
         let debt = self.random.next_fraction() * self.settings.mean_units;
         let Some(backend) = self.backends.get_mut(attempt.backend) else { return };
         let is_suspect = match end {
@@ -51,9 +50,9 @@
         }
     }
 
-    /// Frees the place of the attempt at its backend, and those of earlier ones that its response shows to be
-    /// stalled.
-    fn release_places(&mut self, attempt: &Attempt, end: AttemptEnd) {
+    /// Releases the concurrency slot of the attempt at its backend, and the slots of earlier attempts that
+    /// its response shows to be stalled.
+    fn release_slots(&mut self, attempt: &Attempt, end: AttemptEnd) {
         let Some(backend) = self.backends.get_mut(attempt.backend) else { return };
         if !attempt.is_stalled() {
             backend.release(1);
@@ -64,7 +63,7 @@
         }
     }
 
-    /// Lets the backend learn from the outcome.
+    /// Records the outcome at the backend.
     fn record_outcome(&mut self, attempt: &Attempt, outcome: &AttemptOutcome, now: Micros) {
         let Some(backend) = self.backends.get_mut(attempt.backend) else { return };
         match outcome.end {
@@ -85,7 +84,7 @@
         }
     }
 
-    /// Notes the outcome at the request, and the load report that came with it.
+    /// Records the outcome at the request, and the load report that came with it at the volume's quota.
     fn record_at_request(&mut self, attempt: &Attempt, outcome: &AttemptOutcome) {
         let Some(request) = self.requests.get_mut(&outcome.id) else { return };
         request.in_flight = request.in_flight.saturating_sub(1);
@@ -99,9 +98,9 @@
         }
     }
 
-    /// Forgets a request that has its final answer. One without any attempt in flight is retried where that
-    /// is allowed, or gets its final answer.
-    fn conclude_or_retry(&mut self, outcome: &AttemptOutcome, now: Micros, actions: &mut Vec<Action>) {
+    /// Removes the request if it has its final response. Otherwise, if it has no attempt in flight, retries
+    /// it where that is allowed or gives its final response.
+    fn finish_or_retry(&mut self, outcome: &AttemptOutcome, now: Micros, actions: &mut Vec<Action>) {
         let id = outcome.id;
         let Some(request) = self.requests.get(&id) else { return };
         if outcome.request_ended || outcome.end == AttemptEnd::Ok {
@@ -109,7 +108,7 @@
         } else if request.in_flight == 0 && !request.is_streaming {
             let has_budget = self.retry_budget.allows_retry(&self.settings.rules.retry_budget, now);
             let may_retry = has_budget && retry::may_retry(request, &self.settings, now);
-            // An attempt that timed out has used up the latency objective, or the client's deadline.
+            // A timed-out attempt has used up the latency objective or the time to the client's deadline.
             if may_retry && outcome.end != AttemptEnd::Timeout {
                 self.select_backend(id, now);
             } else {
@@ -119,9 +118,9 @@
     }
 }
 
-/// Whether one request of each head is more than a backend bears that has just started.
-fn heads_would_crowd_a_start(settings: &Settings) -> bool {
+/// Whether one request from each head is more than a backend that has just started has capacity for.
+fn heads_could_overload_start(settings: &Settings) -> bool {
     let limits = &settings.rules.slow_start;
-    let one_of_each = f64::from(settings.heads) * settings.mean_units;
-    one_of_each > CROWDING_MULTIPLE * limits.safe_units && limits.overload_window > 0
+    let one_per_head = f64::from(settings.heads) * settings.mean_units;
+    one_per_head > START_OVERLOAD_MULTIPLE * limits.safe_units && limits.overload_window > 0
 }
--- a/crates/policy/src/quota.rs
+++ b/crates/policy/src/quota.rs
@@ -1,41 +1,45 @@
-//! The quotas of the volumes: each one's reservation and limit, and this head's even part of both.
+//! The quotas of the volumes: the reservation and the limit of each volume, and this head's equal share of
+//! both.
 //!
-//! Owns the token buckets of every volume that was asked for lately. A reservation decides what is sent first
-//! (`scheduling`); a limit decides what may be sent at all.
+//! Owns the token buckets of every volume with recent requests. A reservation gives requests priority
+//! (`scheduling`); a limit holds requests back.
 
 use crate::token_bucket::TokenBucket;
 use crate::{Micros, RequestClass, SECOND, ServicePlan};
 use std::collections::BTreeMap;
 
-/// Time after the latest deadline of a volume's last request at which the volume is forgotten: past any
-/// surge.
+/// Time after the longest possible deadline of a volume's last request until the volume is dropped. Longer
+/// than any surge lasts.
 const IDLE_TIMEOUT: Micros = 60 * SECOND;
-/// Volumes past which idle ones are forgotten at once: far more than a deployment has, and under a megabyte.
+/// Number of volumes above which idle ones are dropped without [`IDLE_TIMEOUT`]. Far more than a deployment
+/// has, in less than a megabyte.
 const MAX_IDLE_VOLUMES: usize = 2048;
-/// A head starts with its even part of a limit's burst divided by this.
+/// A new quota starts with this head's equal share of the limit's burst divided by this.
 const INITIAL_BURST_DIVISOR: f64 = 3.0;
-/// Rate borrowed on late load reports may use up a limit's slack divided by this.
+/// Rate borrowed on delayed load reports may use up a limit's slack divided by this.
 const BORROWED_SLACK_DIVISOR: f64 = 4.0;
-/// A volume may use its heads unevenly: one may carry this many times its even part without a surge.
-const UNEVEN_USE: f64 = 2.0;
+/// Clients may use the heads of a volume unevenly: without a surge, one head may carry this multiple of its
+/// equal share.
+const IMBALANCE_FACTOR: f64 = 2.0;
 
-/// A volume's quota: its plan, and this head's part of its reservation and of its limit.
+/// A volume's quota: its plan, and this head's share of its reservation and of its limit.
 #[derive(Clone, Debug)]
 pub(crate) struct VolumeQuota {
-    /// The plan that the volume's first request named.
+    /// The plan of the volume's first request.
     pub(crate) plan: ServicePlan,
-    /// Heads through which the volume's requests come, at least 1.
+    /// Number of heads through which the volume's requests come, at least 1.
     heads: f64,
     reservation: TokenBucket,
     limit: TokenBucket,
-    /// Units a second over the limit at which the buckets of all heads together may fill.
+    /// Units per second above the limit at which the buckets of all heads together may refill.
     borrowed_rate: f64,
     last_request_at: Micros,
 }
 
 impl VolumeQuota {
-    /// Guards against a predecessor that spent its part of the limit's burst just before a restart: a head
-    /// starts with a third of its part. Costs the first burst after a start.
+    /// A new quota starts with a third of this head's share of the limit's burst, because the head may have
+    /// restarted just after its previous incarnation used up that share. The first burst after a start is
+    /// smaller for it.
     fn new(plan: ServicePlan, heads: f64, now: Micros) -> VolumeQuota {
         let burst = plan.limit_burst / heads / INITIAL_BURST_DIVISOR;
         let limit = TokenBucket::with_tokens(burst, now);
@@ -43,30 +47,30 @@
         VolumeQuota { plan, heads, reservation, limit, borrowed_rate: 0.0, last_request_at: now }
     }
 
-    /// Whether the limit admits `units` now. This head has an even part of the limit's rate and of its burst.
+    /// Whether the limit admits `units` now. This head has an equal share of the limit's rate and of its
+    /// burst.
     pub(crate) fn admits(&mut self, units: f64, now: Micros) -> bool {
         let rate = (self.plan.limit + self.borrowed_rate) / self.heads;
         self.plan.limit <= 0.0 || self.limit.refill(now, rate, self.plan.limit_burst / self.heads) >= units
     }
 
-    /// Whether the limit admits `units` now and has `margin` left besides.
+    /// Whether the limit admits `units` now with `margin` more units left over.
     pub(crate) fn admits_with_margin(&mut self, units: f64, margin: f64, now: Micros) -> bool {
         self.admits(units + margin, now)
     }
 
-    /// Takes units from the limit.
     pub(crate) fn charge_limit(&mut self, units: f64) {
         self.limit.take(units);
     }
 
-    /// Whether this head's part of the reservation is not used up. It saves up to a second of its rate and
-    /// the largest request.
+    /// Whether this head's share of the reservation has units left. It accumulates up to one second of its
+    /// rate plus the largest request.
     pub(crate) fn has_reservation_left(&mut self, max_units: f64, now: Micros) -> bool {
         let rate = self.reserved_rate();
         self.reservation.refill(now, rate, rate + max_units) > 0.0
     }
 
-    /// Takes units from the reservation if any is left; whether it did.
+    /// Takes units from the reservation if it has any left; returns whether it did.
     pub(crate) fn charge_reservation(&mut self, units: f64) -> bool {
         let has_reservation = self.reservation.has_tokens();
         if has_reservation {
@@ -75,47 +79,48 @@
         has_reservation
     }
 
-    /// This head's part of the reservation, in units a second.
+    /// This head's share of the reservation, in units per second.
     pub(crate) fn reserved_rate(&self) -> f64 {
         self.plan.reservation / self.heads
     }
 
-    /// The most units a second that this head may typically be asked for without a surge.
+    /// The highest demand on this head without a surge, in units per second.
     pub(crate) fn max_typical_rate(&self) -> f64 {
-        UNEVEN_USE * self.plan.nominal_rate / self.heads
+        IMBALANCE_FACTOR * self.plan.nominal_rate / self.heads
     }
 
-    /// A report of how much the volume was served through all heads, as a multiple of its nominal rate: what
-    /// the limit has left is lent to this head's even part.
+    /// Handles a report of the volume's usage through all heads, as a multiple of its nominal rate: adds the
+    /// unused rate of the limit to the rate that the heads share.
     ///
-    /// The report is late: were all parts raised and used at once until the next one, a quarter of the slack
-    /// would bear it.
+    /// The report is delayed, so the borrowed rate is bounded: if all heads borrow at once and use it until
+    /// the next report, they overdraw the limit by no more than a quarter of its slack.
     pub(crate) fn on_load_report(&mut self, usage: f64, report_period: Micros) {
-        let seconds_unseen = 1.0 + 2.0 * report_period as f64 / SECOND as f64;
+        let unreported_seconds = 1.0 + 2.0 * report_period as f64 / SECOND as f64;
         let unused = self.plan.limit - usage * self.plan.nominal_rate;
-        let affordable = self.plan.limit_slack / BORROWED_SLACK_DIVISOR / seconds_unseen;
-        self.borrowed_rate = unused.max(0.0).min(affordable);
+        let max_borrowed_rate = self.plan.limit_slack / BORROWED_SLACK_DIVISOR / unreported_seconds;
+        self.borrowed_rate = unused.max(0.0).min(max_borrowed_rate);
     }
 }
 
-/// The quotas of the volumes that were asked for lately.
+/// The quotas of the volumes with recent requests.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct VolumeQuotas {
     by_volume: BTreeMap<u64, VolumeQuota>,
 }
 
 impl VolumeQuotas {
-    /// The quota of a volume, unless it is forgotten.
+    /// The quota of a volume; `None` once it was dropped.
     pub(crate) fn get(&self, volume: u64) -> Option<&VolumeQuota> {
         self.by_volume.get(&volume)
     }
 
-    /// The quota of a volume, unless it is forgotten.
+    /// The quota of a volume; `None` once it was dropped.
     pub(crate) fn get_mut(&mut self, volume: u64) -> Option<&mut VolumeQuota> {
         self.by_volume.get_mut(&volume)
     }
 
-    /// Notes a request for a volume, with its plan, that comes through so many heads.
+    /// Records a request for a volume whose requests come through `heads` heads; `plan` applies to a new
+    /// volume.
     pub(crate) fn on_request(&mut self, volume: u64, plan: Option<&ServicePlan>, heads: f64, now: Micros) {
         let new_quota = || VolumeQuota::new(plan.cloned().unwrap_or_default(), heads, now);
         let quota = self.by_volume.entry(volume).or_insert_with(new_quota);
@@ -123,15 +128,15 @@
         quota.last_request_at = now;
     }
 
-    /// Forgets volumes that are not asked for any more.
+    /// Drops the quotas of idle volumes, so that memory does not grow with every volume ever requested.
     ///
-    /// Guards against growing with every volume ever asked for. The buckets of an idle one are full; a new
-    /// one starts with less. Where clients name ever new volumes, each goes as soon as no request for it can
-    /// be open.
-    pub(crate) fn forget_idle(&mut self, classes: &[RequestClass], now: Micros) {
-        let longest_deadline = classes.iter().map(|class| class.timeout).max().unwrap_or(0);
-        let is_crowded = self.by_volume.len() > MAX_IDLE_VOLUMES;
-        let idle_time = if is_crowded { longest_deadline } else { longest_deadline + IDLE_TIMEOUT };
+    /// The buckets of an idle volume are full, and the buckets of a new quota start with less, so dropping
+    /// one grants nothing extra. When clients name ever new volumes, each is dropped as soon as no request
+    /// for it can be open.
+    pub(crate) fn drop_idle(&mut self, classes: &[RequestClass], now: Micros) {
+        let longest_timeout = classes.iter().map(|class| class.timeout).max().unwrap_or(0);
+        let has_many_volumes = self.by_volume.len() > MAX_IDLE_VOLUMES;
+        let idle_time = if has_many_volumes { longest_timeout } else { longest_timeout + IDLE_TIMEOUT };
         self.by_volume.retain(|_, quota| now < quota.last_request_at + idle_time);
     }
 }
--- a/crates/policy/src/random.rs
+++ b/crates/policy/src/random.rs
@@ -1,9 +1,9 @@
-//! The controller's random numbers: equal seeds and events give equal decisions.
+//! The controller's pseudo-random numbers. Controllers with the same seed and events make the same decisions.
 
 /// SplitMix64 (Steele, Lea and Flood, "Fast Splittable Pseudorandom Number Generators", 2014).
 ///
-/// Written out rather than taken from a crate: the sequence is part of the decisions that recorded runs are
-/// compared by, so it must not change with a dependency.
+/// Implemented here rather than taken from a crate: recorded runs depend on the sequence, so it must not
+/// change with a dependency.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct SplitMix64 {
     state: u64,
@@ -15,7 +15,7 @@
         SplitMix64 { state: seed }
     }
 
-    /// The next number, evenly distributed from 0 to 1, both included.
+    /// The next number, uniformly distributed over [0, 1], both ends included.
     pub(crate) fn next_fraction(&mut self) -> f64 {
         self.next_u64() as f64 / u64::MAX as f64
     }
--- a/crates/policy/src/regulator/mod.rs
+++ b/crates/policy/src/regulator/mod.rs
@@ -1,47 +1,49 @@
-//! The rate of one backend, set once a control period by the direct self-tuning regulator of "Triage:
-//! Performance Isolation and Differentiation for Storage Systems" (sections 4.1 and 4.2, figure 6).
+//! The direct self-tuning regulator of "Triage: Performance Isolation and Differentiation for Storage
+//! Systems" (sections 4.1 and 4.2, figure 6), which sets the rate of one backend once per control period.
 //!
-//! Latency goes in as a multiple of its target, so that the reference `y_ref` is 1; a rate in units a second
-//! comes out. The paper's laws are one function each, and run in the paper's order. Where the design departs
-//! from the paper, the function says so.
+//! The input is the latency as a multiple of its target, so that the reference `y_ref` is 1; the output is a
+//! rate in units per second. Each law of the paper is one function, called in the paper's order. Departures
+//! from the paper are noted at the functions.
 
 mod least_squares;
 
 pub use least_squares::LeastSquares;
 
-/// Responses in a period under which the conditional update law changes nothing (the paper's figure).
+/// With fewer responses in a period, the conditional update law keeps the model and the rate (value from the
+/// paper).
 const MIN_RESPONSES: u32 = 6;
-/// Unchanged periods after which the regulator runs anyway, so that one with few responses cannot lock. The
-/// paper has one random regulator of all run instead; the design has each run after "a few".
+/// The conditional update law skips fewer consecutive periods than this, so that a regulator with few
+/// responses does not stay at its rate for ever. Departure: the paper runs one random regulator of all
+/// instead.
 const MAX_SKIPPED_PERIODS: u32 = 3;
-/// Relative change of a parameter over which the reset law drops the old model (the paper's figure).
+/// Relative change of a parameter above which the reset law discards the model (value from the paper).
 const RESET_CHANGE: f64 = 0.3;
-/// Periods that a new model takes before the reset law judges it: one for each parameter.
-const MODEL_PERIODS: u32 = 3;
+/// Periods before the reset law applies to a new model: one for each parameter.
+const MIN_MODEL_AGE: u32 = 3;
 
-/// What was measured of a backend in one control period.
+/// The measurements of a backend in one control period.
 #[derive(Clone, Copy, Debug)]
 pub struct PeriodSample {
-    /// Responses in the period.
+    /// Number of responses.
     pub responses: u32,
-    /// Their mean latency, as a multiple of the target: `w(k)`.
+    /// Mean latency of the responses, as a multiple of the target: `w(k)`.
     pub latency: f64,
-    /// Units a second that were sent, the input that the backend really had: `u(k-1)`.
+    /// Rate that was sent, in units per second: `u(k-1)`. It may differ from the rate that was set.
     pub sent: f64,
-    /// Units a second that were served.
+    /// Rate that was served, in units per second.
     pub served: f64,
-    /// The largest rate worth setting: `u_max`.
+    /// Upper bound of the rate, in units per second: `u_max`.
     pub ceiling: f64,
-    /// Nothing was sent and nothing is in flight: the backend is idle, not stalled.
+    /// Whether nothing was sent and nothing is in flight: the backend is idle, not stalled.
     pub is_idle: bool,
 }
 
 /// The direct self-tuning integral regulator of one backend.
 #[derive(Clone, Debug, Default)]
 pub struct SelfTuningRegulator {
-    /// The present model.
+    /// The current model.
     pub model: LeastSquares,
-    /// The rate set, in units a second: `u(k)`.
+    /// The rate that was set last, in units per second: `u(k)`.
     pub rate: f64,
     previous: Option<PeriodSample>,
     skipped_periods: u32,
@@ -49,7 +51,7 @@
 }
 
 impl SelfTuningRegulator {
-    /// Ends a control period: sets the rate by the paper's laws.
+    /// Ends a control period: updates the model and sets the rate.
     pub fn update(&mut self, sample: PeriodSample) {
         if self.conditional_update_law(&sample) {
             return;
@@ -61,16 +63,18 @@
         let estimate = self.estimate(&previous, &sample);
         if self.reset_law(&estimate) {
             self.reset(&sample);
-        } else if self.keep_plausible(estimate) {
+        } else if self.adopt_estimate(estimate) {
             self.rate = self.control_law(&sample);
         } else {
             self.rate = self.rate.min(sample.ceiling);
         }
     }
 
-    /// Line 1 of the paper's algorithm: whether too few responses came to change the model and the rate.
+    /// Line 1 of the paper's algorithm: returns whether the model and the rate are kept because of too few
+    /// responses.
     ///
-    /// Departure: an idle backend's rate goes to the ceiling, which also bounds a rate that is kept.
+    /// Departure: the rate of an idle backend becomes the ceiling, and a rate that is kept is bounded by the
+    /// ceiling.
     fn conditional_update_law(&mut self, sample: &PeriodSample) -> bool {
         if sample.responses < MIN_RESPONSES && self.rate > 0.0 {
             self.skipped_periods += 1;
@@ -85,27 +89,27 @@
         false
     }
 
-    /// The present model with this period taken in.
+    /// The current model updated with this period.
     fn estimate(&self, previous: &PeriodSample, sample: &PeriodSample) -> LeastSquares {
         let mut estimate = self.model.clone();
         estimate.update([previous.latency, sample.sent, previous.sent], sample.latency);
         estimate
     }
 
-    /// Line 5: whether any parameter moved so far that the old model no longer counts.
+    /// Line 5: whether any parameter changed so much that the model has to be discarded.
     fn reset_law(&mut self, estimate: &LeastSquares) -> bool {
-        let has_moved = (0..3).any(|i| {
+        let has_changed = (0..3).any(|i| {
             let (old, new) = (self.model.theta[i], estimate.theta[i]);
             (new - old).abs() > RESET_CHANGE * old.abs()
         });
         self.model_age += 1;
-        has_moved && self.model_age > MODEL_PERIODS
+        has_changed && self.model_age > MIN_MODEL_AGE
     }
 
-    /// Drops the model and excites the backend with the ceiling.
+    /// Discards the model and sets the rate to the ceiling, as excitation for a new model.
     ///
-    /// Departure: a backend over its target (slow, in slow start or crowded) gets what it has just served
-    /// instead, so that the reset does not overload it further.
+    /// Departure: a backend above its target (slow, in slow start or congested) gets the rate that it has
+    /// just served instead, so that the reset does not overload it further.
     fn reset(&mut self, sample: &PeriodSample) {
         self.model = LeastSquares::default();
         self.model_age = 0;
@@ -113,17 +117,16 @@
         self.rate = if is_over_target { sample.served.min(sample.ceiling) } else { sample.ceiling };
     }
 
-    /// Line 9: takes the estimate unless it has latency fall as the rate rises; then the model before is
-    /// kept. Without a plausible model before, the estimate is kept to learn on. Whether the model can set a
-    /// rate.
-    fn keep_plausible(&mut self, estimate: LeastSquares) -> bool {
+    /// Line 9: adopts the estimate unless latency falls in it as the rate rises; the previous model is kept
+    /// then, if it is plausible itself. Returns whether the model is plausible and can set a rate.
+    fn adopt_estimate(&mut self, estimate: LeastSquares) -> bool {
         if estimate.is_plausible() || !self.model.is_plausible() {
             self.model = estimate;
         }
         self.model.is_plausible()
     }
 
-    /// Lines 11 and 12: the control law (equation 7), and the anti-windup law, which keeps the rate between 0
+    /// Lines 11 and 12: the control law (equation 7) and the anti-windup law, which clamps the rate between 0
     /// and the ceiling.
     fn control_law(&self, sample: &PeriodSample) -> f64 {
         let [s1, r1, r2] = self.model.theta;
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -1,12 +1,12 @@
-//! Retries: how many a head may send, and for which requests a retry is safe.
+//! Retries: the retry budget of the head, and the requests for which a retry is safe.
 //!
-//! Owns the times of the requests and retries of the last budget window.
+//! Owns the times of the requests and retries in the current budget window.
 
-use crate::request::QueuedRequest;
+use crate::request::OpenRequest;
 use crate::{AttemptEnd, DeduplicationScope, Idempotency, Micros, RequestClass, RetryBudgetLimits, Settings};
 use std::collections::VecDeque;
 
-/// What the rules let a head retry within a sliding window: some retries free, and more for each request
+/// The retries that a head may send within a sliding window: a fixed number, and a fraction of the requests
 /// received.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RetryBudget {
@@ -15,17 +15,15 @@
 }
 
 impl RetryBudget {
-    /// Counts a request that was received.
     pub(crate) fn on_request(&mut self, now: Micros) {
         self.requests.push_back(now);
     }
 
-    /// Counts a retry that was sent.
     pub(crate) fn on_retry(&mut self, now: Micros) {
         self.retries.push_back(now);
     }
 
-    /// Whether there is budget for one more retry.
+    /// Whether the budget allows one more retry at `now`.
     pub(crate) fn allows_retry(&mut self, limits: &RetryBudgetLimits, now: Micros) -> bool {
         for times in [&mut self.requests, &mut self.retries] {
             while times.front().is_some_and(|at| at + limits.window <= now) {
@@ -37,27 +35,27 @@
     }
 }
 
-/// Whether an attempt that ended like this may still be running at the backend.
+/// Whether the request may still be running at the backend after an attempt that ended with `end`.
 pub(crate) fn may_still_run(end: AttemptEnd) -> bool {
     matches!(end, AttemptEnd::Timeout | AttemptEnd::Reset | AttemptEnd::Cancelled)
 }
 
-/// Whether an unserved attempt that ended like this may have taken effect.
+/// Whether the request may have run in an unsuccessful attempt that ended with `end`.
 pub(crate) fn may_have_run(end: AttemptEnd) -> bool {
     may_still_run(end) || end == AttemptEnd::Error
 }
 
-/// Whether another attempt for the request is safe, allowed, and can still be answered before its deadline.
-/// The retry budget is asked separately.
-pub(crate) fn may_retry(request: &QueuedRequest, settings: &Settings, now: Micros) -> bool {
+/// Whether another attempt is safe, within the maximum number of attempts, and can still get a response
+/// before the client's deadline. The caller checks the retry budget.
+pub(crate) fn may_retry(request: &OpenRequest, settings: &Settings, now: Micros) -> bool {
     let class = &settings.classes[request.spec.class];
     may_run_again(request, class, now)
         && request.attempts < settings.permissions.max_attempts
         && now + 2 * settings.tick < request.spec.deadline
 }
 
-/// Whether the request may be sent to a backend again: it cannot take effect twice.
-fn may_run_again(request: &QueuedRequest, class: &RequestClass, now: Micros) -> bool {
+/// Whether the request may be sent to a backend again because it cannot take effect twice.
+fn may_run_again(request: &OpenRequest, class: &RequestClass, now: Micros) -> bool {
     match (class.idempotency, request.possibly_executed) {
         (Idempotency::Idempotent, _) | (_, None) => true,
         (Idempotency::NotIdempotent, Some(_)) => false,
@@ -65,18 +63,17 @@
     }
 }
 
-/// Whether the backends may have forgotten the request's idempotency key by `time`, though one may have run
-/// it.
-pub(crate) fn is_deduplication_over(request: &QueuedRequest, class: &RequestClass, time: Micros) -> bool {
+/// Whether the deduplication window of a request that may have run is over at `time`, so that a backend could
+/// run it again.
+pub(crate) fn is_deduplication_over(request: &OpenRequest, class: &RequestClass, time: Micros) -> bool {
     class.idempotency == Idempotency::WithKey
         && request
             .possibly_executed
             .is_some_and(|execution| time >= execution.sent_at + class.deduplication_window)
 }
 
-/// Whether the client may try the request again wherever it likes: it did not run, or running again is
-/// harmless.
-pub(crate) fn is_safe_for_client_to_retry(request: &QueuedRequest, class: &RequestClass) -> bool {
+/// Whether the client may retry the request through any head: it did not run, or running it again is safe.
+pub(crate) fn is_safe_for_client_to_retry(request: &OpenRequest, class: &RequestClass) -> bool {
     let cannot_have_run = request.possibly_executed.is_none();
     match class.idempotency {
         Idempotency::Idempotent => true,
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -1,39 +1,39 @@
-//! What a deployment states once, before the first event.
+//! The settings of a controller, fixed for its lifetime.
 
 use crate::Micros;
 
-/// The settings of one head's decisions.
+/// The settings by which one head decides.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Settings {
-    /// Heads in this tier, at least 1.
+    /// Number of heads in the cluster, at least 1.
     pub heads: u32,
-    /// The shortest time between two events of the clock.
+    /// Resolution of the head's clock: the shortest time between two events at different times.
     pub tick: Micros,
     /// The zone of this head.
     pub zone: u16,
-    /// Request classes; requests name them by position.
+    /// Request classes; a request refers to one by its index.
     pub classes: Vec<RequestClass>,
-    /// Service plans; requests name them by position.
+    /// Service plans; a request refers to one by its index.
     pub plans: Vec<ServicePlan>,
-    /// The figures of the rules.
+    /// The limits that the deployment imposes on a head.
     pub rules: Rules,
-    /// What the deployment permits.
+    /// What the deployment permits the head to do.
     pub permissions: Permissions,
-    /// Mean units of a request.
+    /// Mean size of a request, in units.
     pub mean_units: f64,
-    /// The most units of a request.
+    /// Size of the largest request, in units.
     pub max_units: f64,
-    /// The period over which the reported use of a volume is totalled; 0: there are no such reports.
+    /// Period that a backend's report of a volume's usage covers; 0: backends send no such reports.
     pub usage_report_period: Micros,
 }
 
-/// The least mean size of a request that is calculated with, against settings without one.
-const LEAST_MEAN_UNITS: f64 = 1e-3;
+/// Lower bound of the mean request size, in units, for settings that leave it at 0.
+const MIN_MEAN_UNITS: f64 = 1e-3;
 
 impl Settings {
-    /// Mean units of a request, above 0: safe to divide by.
-    pub(crate) fn mean_units_or_least(&self) -> f64 {
-        self.mean_units.max(LEAST_MEAN_UNITS)
+    /// Mean size of a request in units, always above 0 and safe to divide by.
+    pub(crate) fn positive_mean_units(&self) -> f64 {
+        self.mean_units.max(MIN_MEAN_UNITS)
     }
 }
 
@@ -42,117 +42,118 @@
 pub enum Idempotency {
     /// It may run any number of times.
     Idempotent,
-    /// It carries an idempotency key, by which backends drop duplicates within a scope and a window.
+    /// It carries an idempotency key, by which the backends of a scope drop duplicates for a time.
     WithKey,
     /// It must not run twice.
     NotIdempotent,
 }
 
-/// The backends that recognise the idempotency key of a request that one of them may have run.
+/// The backends that recognise the idempotency key of a request that one backend may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
     /// Every backend.
     All,
-    /// The backends of the zone of the one that may have run it.
+    /// The backends in the zone of the backend that may have run it.
     Zone,
-    /// The backends that hold the same shard.
+    /// The backends that hold the same shard as the backend that may have run it.
     Shard,
 }
 
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestClass {
-    /// A response within this time has the full priority weight.
+    /// A response within this time, counted from the client's first attempt, has the full priority weight.
     pub latency_objective: Micros,
-    /// How long a client waits over all of its attempts.
+    /// How long a client waits for a response, over all of its attempts.
     pub timeout: Micros,
     /// Whether a request may run more than once.
     pub idempotency: Idempotency,
     /// For [`Idempotency::WithKey`]: which backends drop duplicates.
     pub deduplication_scope: DeduplicationScope,
-    /// For [`Idempotency::WithKey`]: how long after the first attempt that may have run duplicates are dropped.
+    /// For [`Idempotency::WithKey`]: how long backends drop duplicates, counted from the first attempt that
+    /// may have run.
     pub deduplication_window: Micros,
-    /// Requests with one key run one at a time, in order of arrival.
+    /// Whether requests with the same key run one at a time, in order of arrival.
     pub ordered_by_key: bool,
-    /// The weight of a timely response.
+    /// The value of a response within the latency objective.
     pub priority_weight: f64,
-    /// The part of the weight that an overdue response still has.
+    /// The fraction of that value that a later response still has.
     pub overdue_weight: f64,
 }
 
-/// A service plan; its figures hold for each volume over all heads and backends.
+/// A service plan. Its rates apply to each volume, over all heads and backends together.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ServicePlan {
-    /// The rate that a volume is sized for, in units a second.
+    /// The rate that a volume is sized for, in units per second.
     pub nominal_rate: f64,
-    /// Reserved rate in units a second; 0: none.
+    /// Reserved rate in units per second; 0: none.
     pub reservation: f64,
-    /// Weight in the division of what the reservations leave.
+    /// Weight of a volume in the division of the rate that the reservations leave.
     pub weight: f64,
-    /// Rate limit of a volume in units a second; 0: no limit.
+    /// Rate limit in units per second; 0: no limit.
     pub limit: f64,
     /// Capacity of the limit's token bucket, in units.
     pub limit_burst: f64,
-    /// Units by which that bucket may fall below 0.
+    /// Units by which that bucket may be overdrawn, over all heads together.
     pub limit_slack: f64,
-    /// Factor on the priority weight of a request.
+    /// Factor on the priority weight of a request's class.
     pub priority_weight: f64,
 }
 
-/// Figures of the rules that a head keeps. A rule whose figures are 0 does not apply.
+/// Limits that the deployment imposes on a head. A limit with all values at 0 does not apply.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Rules {
-    /// How long after the client's deadline a final answer still counts.
+    /// How long after the client's deadline a final response is still in time.
     pub response_slack: Micros,
-    /// How long after the notification that a backend drains new attempts may still be sent to it.
+    /// How long new attempts may still be sent to a backend after the head was notified that it is draining.
     pub drain_grace: Micros,
-    /// How fast a backend that has just started may be loaded.
+    /// How much load a backend that has just started may be sent.
     pub slow_start: SlowStartLimits,
-    /// How long the next request of a key waits after an attempt that may still be running.
+    /// How long the next request of a key is held back after an attempt that may still be running.
     pub key_order_pause: Micros,
-    /// How many retries a head may make.
+    /// How many retries a head may send.
     pub retry_budget: RetryBudgetLimits,
-    /// A head without a watch is held to the endpoint list that is this old; 0: no such rule.
+    /// Maximum age of the endpoint list that a head without a watch may act on; 0: no limit.
     pub poll_interval: Micros,
 }
 
-/// Figures of slow start: how much a backend bears after its start.
+/// Limits of slow start: the capacity of a backend after its start.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SlowStartLimits {
-    /// The part of its full capacity that a backend starts with.
+    /// The fraction of its full capacity that a backend starts with.
     pub initial_capacity: f64,
-    /// Time until a backend has its full capacity.
+    /// Time from its start until a backend has its full capacity.
     pub duration: Micros,
-    /// A backend in slow start fails when it is sent this many times its present capacity.
+    /// A backend in slow start fails when it is sent more than this multiple of its current capacity.
     pub overload_factor: f64,
-    /// The window over which the overload is counted.
+    /// The window over which the load is counted for that; 0: no slow start.
     pub overload_window: Micros,
-    /// Units within the window, from all heads together, that a backend bears at any time.
+    /// Units within the window, from all heads together, that a backend has capacity for even at its start.
     pub safe_units: f64,
 }
 
-/// Figures of the retry budget.
+/// Limits of the retry budget.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RetryBudgetLimits {
-    /// The window over which retries are counted; 0: there is no budget.
+    /// The sliding window over which retries are counted; 0: retries are not limited.
     pub window: Micros,
-    /// Retries in a window that are always allowed.
+    /// Retries that are allowed in a window whatever the number of requests.
     pub free_retries: f64,
-    /// Further retries for each request that was received in the window.
+    /// Additional retries for each request received in the window.
     pub retries_per_request: f64,
 }
 
-/// What a deployment permits.
+/// What a deployment permits its heads to do.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Permissions {
-    /// The endpoint list comes only when it is asked for.
+    /// Whether the head has to open a watch on the endpoint list; otherwise updates are pushed to it.
     pub must_poll: bool,
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub cancel: bool,
-    /// Backends may be health-checked.
+    /// Whether backends may be health-checked.
     pub health_checks: bool,
-    /// The most attempts for one request.
+    /// Maximum number of attempts for one request.
     pub max_attempts: u32,
-    /// The longest `Retry-After` that a client is given; 0: clients are given none.
+    /// The longest `Retry-After` that a client is given; 0: none is given.
     pub max_retry_after: Micros,
 }
--- a/crates/policy/src/timers.rs
+++ b/crates/policy/src/timers.rs
@@ -1,36 +1,38 @@
-//! The controller's timers: the end of a control period, the sweep of the waiting requests, and the next
+//! The controller's timers: the end of the control period, the sweep of the queued requests, and the next
 //! poll.
 //!
-//! Owns which of them are set, and the tokens by which they come back. What is done when one expires is
-//! decided by the controller.
+//! Owns which timers are set and the tokens that identify them. The controller decides what happens when a
+//! timer expires.
 
 use crate::{Action, Micros, SECOND};
 
-/// Length of a control period: the paper's second, so that rates a second and units a period are one.
+/// Length of a control period. The Triage paper uses one second; units per period and units per second are
+/// then the same number.
 const CONTROL_PERIOD: Micros = SECOND;
-/// Time between sweeps of the waiting requests: far under the shortest latency objective, and cheap.
+/// Time between sweeps of the queued requests: far below the shortest latency objective, and still cheap.
 pub(crate) const SWEEP_INTERVAL: Micros = 5_000;
-/// A period that ends later than this tells of a stall of the head itself: many sweeps.
-const STALL: Micros = 50_000;
+/// A control period that ends later than this shows that the head itself was stalled. Ten sweep intervals, so
+/// that ordinary timer delays do not count.
+const STALL_THRESHOLD: Micros = 50_000;
 
 /// A timer that the controller sets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Timer {
-    /// The control period ends.
+    /// End of the control period.
     PeriodEnd = 1,
-    /// The waiting requests are looked through.
+    /// Sweep of the queued requests.
     Sweep = 2,
-    /// The endpoint list is polled again after a failure.
+    /// Next poll of the endpoint list after a failure.
     Poll = 3,
 }
 
 impl Timer {
-    /// The timer that comes back with `token`, if it is one of the controller's.
+    /// The timer with a token, if it is one of the controller's.
     pub(crate) fn from_token(token: u64) -> Option<Timer> {
         [Timer::PeriodEnd, Timer::Sweep, Timer::Poll].into_iter().find(|timer| *timer as u64 == token)
     }
 
-    /// The action that sets it.
+    /// The action that sets this timer.
     pub(crate) fn set(self, at: Micros) -> Action {
         Action::SetTimer { at, token: self as u64 }
     }
@@ -39,9 +41,9 @@
 /// Which timers are set.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Timers {
-    /// When the present control period ends; 0 before the first event.
+    /// When the current control period ends; 0 before the first event.
     period_ends_at: Micros,
-    sweep_is_set: bool,
+    is_sweep_set: bool,
 }
 
 impl Timers {
@@ -50,30 +52,30 @@
         self.period_ends_at != 0
     }
 
-    /// Begins a control period.
+    /// Begins a control period and returns the action that sets the timer of its end.
     pub(crate) fn start_period(&mut self, now: Micros) -> Action {
         self.period_ends_at = now + CONTROL_PERIOD;
         Timer::PeriodEnd.set(self.period_ends_at)
     }
 
-    /// Whether the present control period should have ended long ago: the head itself stood still.
+    /// Whether the end of the control period is so late that the head itself must have been stalled.
     pub(crate) fn head_has_stalled(&self, now: Micros) -> bool {
-        now > self.period_ends_at + STALL
+        now > self.period_ends_at + STALL_THRESHOLD
     }
 
-    /// Whether the next sweep is set.
-    pub(crate) fn has_sweep(&self) -> bool {
-        self.sweep_is_set
+    /// Whether the timer of the next sweep is set.
+    pub(crate) fn is_sweep_set(&self) -> bool {
+        self.is_sweep_set
     }
 
-    /// Sets the next sweep.
-    pub(crate) fn start_sweep(&mut self, now: Micros) -> Action {
-        self.sweep_is_set = true;
+    /// Schedules the next sweep and returns the action that sets its timer.
+    pub(crate) fn schedule_sweep(&mut self, now: Micros) -> Action {
+        self.is_sweep_set = true;
         Timer::Sweep.set(now + SWEEP_INTERVAL)
     }
 
-    /// The sweep's timer has expired.
+    /// Records that the sweep's timer has expired.
     pub(crate) fn on_sweep(&mut self) {
-        self.sweep_is_set = false;
+        self.is_sweep_set = false;
     }
 }
--- a/crates/policy/src/token_bucket.rs
+++ b/crates/policy/src/token_bucket.rs
@@ -1,8 +1,9 @@
-//! A token bucket whose rate and capacity may differ at each use.
+//! A token bucket whose rate and capacity are given at each refill.
 
 use crate::{Micros, SECOND};
 
-/// Tokens that accrue at a rate up to a capacity. It may be overdrawn: the debt delays what comes next.
+/// Tokens that accrue at a rate up to a capacity. The bucket may be overdrawn: the debt has to accrue before
+/// it holds tokens again.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct TokenBucket {
     tokens: f64,
@@ -15,13 +16,13 @@
         TokenBucket { tokens, refilled_at: now }
     }
 
-    /// A bucket that has to accrue `debt` before it holds anything.
+    /// A bucket that is overdrawn by `debt` at `now`.
     pub(crate) fn with_debt(debt: f64, now: Micros) -> TokenBucket {
         TokenBucket::with_tokens(-debt, now)
     }
 
-    /// Adds what accrued since the last refill at `rate` tokens a second, up to `capacity`, and returns what
-    /// it holds then.
+    /// Adds the tokens that accrued since the last refill at `rate` tokens per second, up to `capacity`, and
+    /// returns the tokens that the bucket holds.
     pub(crate) fn refill(&mut self, now: Micros, rate: f64, capacity: f64) -> f64 {
         let seconds = now.saturating_sub(self.refilled_at) as f64 / SECOND as f64;
         self.tokens = (self.tokens + rate * seconds).min(capacity);
@@ -29,17 +30,17 @@
         self.tokens
     }
 
-    /// Takes tokens, also beyond what it holds.
+    /// Takes tokens; the bucket may be overdrawn.
     pub(crate) fn take(&mut self, tokens: f64) {
         self.tokens -= tokens;
     }
 
-    /// Whether it held anything at the last refill, less what was taken since.
+    /// Whether it holds tokens, not counting those that accrued since the last refill.
     pub(crate) fn has_tokens(&self) -> bool {
         self.tokens > 0.0
     }
 
-    /// Whether it has not been in use since it was made by default.
+    /// Whether it is still the default bucket: never filled, overdrawn or refilled.
     pub(crate) fn is_unused(&self) -> bool {
         self.refilled_at == 0
     }
