--- a/crates/policy/src/quota.rs
+++ b/crates/policy/src/quota.rs
@@ -37,9 +37,11 @@
 }
 
 impl VolumeQuota {
-    /// A new quota starts with a third of this head's share of the limit's burst, because the head may have
-    /// restarted just after its previous incarnation used up that share. The first burst after a start is
-    /// smaller for it.
+    /// Creates the quota of a volume on its first request.
+    ///
+    /// The limit starts with a third of this head's share of the burst, because the head may have restarted
+    /// just after its previous incarnation used up that share. The first burst after a start is limited
+    /// accordingly.
     fn new(plan: ServicePlan, heads: f64, now: Micros) -> VolumeQuota {
         let burst = plan.limit_burst / heads / INITIAL_BURST_DIVISOR;
         let limit = TokenBucket::with_tokens(burst, now);
--- a/crates/policy/src/request.rs
+++ b/crates/policy/src/request.rs
@@ -53,8 +53,8 @@
     }
 }
 
-/// The timeouts that clients set for their first attempts, learned for each class. A request with less time
-/// to its deadline is a retry by its client.
+/// The timeouts that clients set for their first attempts, learned for each class. A request that arrives
+/// with less time left is taken for a retry by its client.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FirstAttemptTimeouts {
     /// The longest time to the deadline that a request of each class arrived with.
@@ -79,7 +79,7 @@
         let first_attempt_timeout = &mut self.by_class[request.class];
         *first_attempt_timeout = time_left.max(*first_attempt_timeout).min(class.timeout);
         // A request with less time left than the objective comes from a client with a short timeout, not from
-        // a client that has already waited.
+        // a client that has already waited. Its objective expires with its deadline.
         let time_spent = if time_left > class.latency_objective {
             first_attempt_timeout.saturating_sub(time_left)
         } else {
--- a/crates/policy/tests/backend_health.rs
+++ b/crates/policy/tests/backend_health.rs
@@ -1,4 +1,4 @@
-//! Which backends are sent requests after attempts that failed, timed out or were reset.
+//! Passive health checking: which backends are sent requests after failed attempts, timeouts and resets.
 
 mod common;
 
@@ -6,7 +6,8 @@
 use common::*;
 use sedgerun_policy::*;
 
-/// Incident i04db4f: one reset must not stop a backend that answers the others.
+/// Incident i04db4f: after one reset a backend was not sent any more requests, though it responded to the
+/// others.
 #[test]
 fn a_single_reset_does_not_make_a_backend_unavailable() {
     let mut head = TestHead::with_one_backend();
@@ -18,9 +19,9 @@
     assert_eq!(sends(&next), [(21, 1)]);
 }
 
-/// A process that dies shows as failures in a row: one trial at a time then, not every request.
+/// A backend whose process died fails all attempts. It must get one probe at a time and not every request.
 #[test]
-fn a_dead_backend_gets_one_trial_at_a_time() {
+fn an_unavailable_backend_gets_one_probe_at_a_time() {
     let mut head = TestHead::with_one_backend();
     let mut now = 2 * SECOND;
     for id in 1..=3 {
@@ -38,21 +39,18 @@
         let actions = head.receive(now, request(id, IDEMPOTENT, Some(1), now + 2 * SECOND));
         attempts.extend(sends(&actions));
     }
-    assert_eq!(
-        attempts.len(),
-        attempts_until_unavailable,
-        "an unavailable backend is not sent every request"
-    );
+    assert_eq!(attempts.len(), attempts_until_unavailable, "requests are sent to an unavailable backend");
 }
 
-/// Backends that close kept connections without notice: three resets within moments took one for unavailable
-/// that answered all the while, and what came for it was rejected for half a second.
+/// A backend that closes idle connections without notice causes resets. Three resets in a row made it
+/// unavailable though it responded to other requests, and all requests for it were rejected for half a
+/// second.
 #[test]
 fn resets_do_not_make_a_backend_unavailable_that_has_just_responded() {
     let mut head = TestHead::with_one_backend();
     let mut now = 2 * SECOND;
-    head.run_one_by_one(&mut now, 1..9, AttemptEnd::Ok, 10 * MS);
-    // Each attempt of a read is reset at once, and sent again.
+    head.run_sequentially(&mut now, 1..9, AttemptEnd::Ok, 10 * MS);
+    // Each attempt of an idempotent request is reset at once and retried.
     let first = head.receive(now, request(20, IDEMPOTENT, Some(1), now + 2 * SECOND));
     assert_eq!(sends(&first), [(20, 1)]);
     for attempt in 0..3 {
@@ -61,7 +59,7 @@
     }
     let next = head.receive(now + MS, request(21, IDEMPOTENT, Some(1), now + 2 * SECOND));
     assert_eq!(sends(&next), [(21, 1)]);
-    // Without a response for a latency objective, resets tell of a backend that is gone.
+    // Without a response for a latency objective, resets make a backend unavailable.
     now += 400 * MS;
     head.end_attempt(now, outcome(21, 0, 1, AttemptEnd::Reset, MS));
     let mut attempts = 0;
@@ -73,11 +71,11 @@
             head.end_attempt(now, outcome(id, 0, 1, AttemptEnd::Reset, MS));
         }
     }
-    assert!(attempts <= 3, "{attempts} sent to a backend that is gone");
+    assert!(attempts <= 3, "{attempts} attempts sent to an unavailable backend");
 }
 
-/// An attempt that timed out is a slow response, not none: nothing else tells of a backend that drops overdue
-/// work.
+/// A timeout must count as a slow response: a backend that drops overdue requests gives no other sign of
+/// overload.
 #[test]
 fn a_timeout_counts_as_a_slow_response() {
     let mut head = TestHead::with_one_backend();
@@ -91,16 +89,18 @@
     assert!(sends(&next).is_empty(), "{next:?}");
 }
 
-/// A head that stood still finds old outcomes and requests at once: its backends were not silent.
+/// After a stall, a head handles old outcomes and new requests at once. The time of its own stall must not
+/// make its backends look unresponsive.
 #[test]
-fn a_stall_of_the_head_is_not_the_silence_of_its_backends() {
+fn a_stall_of_the_head_does_not_make_its_backends_unresponsive() {
     let mut head = TestHead::with_one_backend();
     let mut now = 2 * SECOND;
     head.warm_up(&mut now);
     head.timer(now, PERIOD_TIMER);
     head.receive(now, request(20, WITH_KEY, Some(1), now + 3 * SECOND));
-    // The period's timer and what came meanwhile are found two seconds late, the request before the response.
+    // The head is stalled for two seconds, past the end of the control period, and then handles a new request
+    // before the response.
     now += 2 * SECOND;
-    let found = head.receive(now, request(21, IDEMPOTENT, Some(1), now + 2 * SECOND));
-    assert_eq!(sends(&found), [(21, 1)]);
+    let received = head.receive(now, request(21, IDEMPOTENT, Some(1), now + 2 * SECOND));
+    assert_eq!(sends(&received), [(21, 1)]);
 }
--- a/crates/policy/tests/common/head.rs
+++ b/crates/policy/tests/common/head.rs
@@ -1,4 +1,4 @@
-//! A head under test: one controller, driven event by event.
+//! A head under test: a controller that a test drives event by event.
 
 use super::*;
 
@@ -11,14 +11,14 @@
         TestHead { controller: Controller::new(settings, seed) }
     }
 
-    /// One with the usual settings that has its list at 1 s, and what it did then.
+    /// A head with the usual settings that receives its endpoint list at 1 s, and its actions then.
     pub fn started(endpoints: Vec<Endpoint>) -> (TestHead, Vec<Action>) {
         let mut head = TestHead::new(settings(), 5);
-        let actions = head.list(SECOND, UpdateScope::Full, endpoints);
+        let actions = head.update_endpoints(SECOND, UpdateScope::Full, endpoints);
         (head, actions)
     }
 
-    /// One with the usual settings and one backend, 1 of shard 1, that started long ago.
+    /// A head with the usual settings and one backend, number 1 with shard 1, that started long ago.
     pub fn with_one_backend() -> TestHead {
         TestHead::started(vec![ready(1, 1)]).0
     }
@@ -29,7 +29,12 @@
         actions
     }
 
-    pub fn list(&mut self, now: Micros, scope: UpdateScope, endpoints: Vec<Endpoint>) -> Vec<Action> {
+    pub fn update_endpoints(
+        &mut self,
+        now: Micros,
+        scope: UpdateScope,
+        endpoints: Vec<Endpoint>,
+    ) -> Vec<Action> {
         self.handle(now, Event::EndpointList { scope, endpoints })
     }
 
@@ -49,9 +54,9 @@
         self.handle(now, Event::Timer { token })
     }
 
-    /// Sends requests one by one to backend 1 of shard 1, each ending the same way; moves `now` to after the
-    /// last.
-    pub fn run_one_by_one(
+    /// Runs requests one after the other at backend 1 of shard 1, each with the same outcome. Advances `now`
+    /// past the last one.
+    pub fn run_sequentially(
         &mut self,
         now: &mut Micros,
         ids: std::ops::Range<RequestId>,
@@ -60,25 +65,25 @@
     ) {
         for id in ids {
             let actions = self.receive(*now, request(id, IDEMPOTENT, Some(1), *now + 2 * SECOND));
-            assert_eq!(sends(&actions), [(id, 1)], "request {id} waits with nothing in flight");
+            assert_eq!(sends(&actions), [(id, 1)], "request {id} is not sent though nothing is in flight");
             *now += latency;
             self.end_attempt(*now, outcome(id, 0, 1, end, latency));
             *now += MS;
         }
     }
 
-    /// Eight quick responses, one after the other.
+    /// Runs eight requests with fast responses, one after the other.
     pub fn warm_up(&mut self, now: &mut Micros) {
-        self.run_one_by_one(now, 1..9, AttemptEnd::Ok, 20 * MS);
+        self.run_sequentially(now, 1..9, AttemptEnd::Ok, 20 * MS);
     }
 
-    /// The size of all that the controller holds, as it prints it.
+    /// Length of the controller's `Debug` output, as a measure of the size of its state.
     pub fn state_size(&self) -> usize {
         format!("{:?}", self.controller).len()
     }
 }
 
-/// The requests that are sent, each with its backend.
+/// The requests that the actions send, each with its backend.
 pub fn sends(actions: &[Action]) -> Vec<(RequestId, u64)> {
     let send = |action: &Action| match action {
         Action::Send { id, backend, .. } => Some((*id, backend.0)),
@@ -87,7 +92,7 @@
     actions.iter().filter_map(send).collect()
 }
 
-/// How many requests are rejected.
+/// Number of requests that the actions reject.
 pub fn rejections(actions: &[Action]) -> usize {
     actions.iter().filter(|action| matches!(action, Action::Reject { .. })).count()
 }
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -1,7 +1,7 @@
-//! Settings and events for tests, a head under test, and a simulation that checks the rules.
+//! Settings and events for tests, a head under test, and simulations.
 #![allow(dead_code)]
 
-pub mod fleet;
+pub mod cluster;
 pub mod head;
 pub mod random;
 pub mod rules;
@@ -17,7 +17,7 @@
 pub const SWEEP_TIMER: u64 = 2;
 pub const POLL_TIMER: u64 = 3;
 
-/// Positions of the classes and plans of [`settings`].
+/// Indexes of the classes and plans in [`settings`].
 pub const IDEMPOTENT: usize = 0;
 pub const WITH_KEY: usize = 1;
 pub const ORDERED: usize = 2;
@@ -37,8 +37,8 @@
     }
 }
 
-/// Three classes (idempotent, with an idempotency key, not idempotent and ordered) and two plans (limited,
-/// reserved).
+/// Settings with three classes (idempotent, with an idempotency key, not idempotent and ordered) and two
+/// plans (limited, reserved).
 pub fn settings() -> Settings {
     let ordered =
         RequestClass { ordered_by_key: true, ..class(500 * MS, 4 * SECOND, Idempotency::NotIdempotent) };
@@ -109,7 +109,7 @@
     Endpoint { backend: BackendId(backend), shard, zone: 0, started_at, readiness }
 }
 
-/// A backend that takes requests and started long ago.
+/// An entry for a backend that takes requests and started long ago.
 pub fn ready(backend: u64, shard: u32) -> Endpoint {
     endpoint(backend, shard, 0, Readiness::Ready)
 }
@@ -131,7 +131,7 @@
     }
 }
 
-/// When an action sets the timer of the next poll.
+/// The time for which an action sets the poll timer, if any.
 pub fn next_poll(actions: &[Action]) -> Option<Micros> {
     actions.iter().find_map(|action| match action {
         Action::SetTimer { at, token: POLL_TIMER } => Some(*at),
--- a/crates/policy/tests/common/random.rs
+++ b/crates/policy/tests/common/random.rs
@@ -1,4 +1,4 @@
-//! A deterministic source of numbers for tests.
+//! A deterministic pseudo-random number generator for tests.
 
 /// A linear congruential generator.
 pub struct TestRandom(pub u64);
@@ -9,12 +9,13 @@
         self.0 >> 33
     }
 
+    /// A number below `n`, or 0 if `n` is 0.
     pub fn below(&mut self, n: u64) -> u64 {
         self.next() % n.max(1)
     }
 
-    /// True with so many percent.
-    pub fn chance(&mut self, percent: u64) -> bool {
+    /// True with a probability of `percent`.
+    pub fn happens(&mut self, percent: u64) -> bool {
         self.below(100) < percent
     }
 }
--- a/crates/policy/tests/common/simulation.rs
+++ b/crates/policy/tests/common/simulation.rs
@@ -1,5 +1,5 @@
-//! A small seeded simulation that feeds controllers odd but legal events and checks every rule on what they
-//! do. It models no real backend.
+//! A seeded simulation that passes unusual but valid events to the controllers of several heads, and checks
+//! every rule on their actions. Outcomes and latencies are random; backends are not modelled.
 
 use super::head::TestHead;
 use super::random::TestRandom;
@@ -11,23 +11,24 @@
 const START: Micros = 10 * SECOND;
 /// A timer token that no controller sets.
 const UNKNOWN_TIMER: u64 = 999;
-/// A request that never was.
+/// A request that was never received.
 const UNKNOWN_REQUEST: RequestId = 4_000_000;
 
-/// How rough a simulation is.
+/// Load and faults of a simulation.
 pub struct Conditions {
-    /// Requests a second over all heads.
-    pub rate: u64,
-    /// Percent of attempts that fail.
-    pub failing: u64,
-    /// Milliseconds of the longest responses.
-    pub slowest: u64,
-    /// Percent a second that a backend restarts or drains, and a head restarts.
-    pub churn: u64,
+    /// Requests per second over all heads.
+    pub requests_per_second: u64,
+    /// Percentage of attempts that fail.
+    pub failure_percent: u64,
+    /// The longest latency, in milliseconds.
+    pub max_latency_ms: u64,
+    /// Probability per second, in percent, that a backend starts or begins to drain. A head restarts with
+    /// half of it.
+    pub churn_percent: u64,
 }
 
-/// Runs a simulation for some seconds under `settings` and panics where a rule breaks. Gives all actions,
-/// each with its head.
+/// Runs a simulation under `settings` and panics if an action breaks a rule. Requests arrive for `seconds`.
+/// Returns all actions, each with the index of its head.
 pub fn simulate(
     settings: &Settings,
     conditions: &Conditions,
@@ -40,8 +41,8 @@
     simulation.actions
 }
 
-/// What is scheduled for a later time.
-enum Occurrence {
+/// An event of the simulation, scheduled for a later time.
+enum ScheduledEvent {
     Request,
     Churn,
     Timer { head: usize, incarnation: u32, token: u64 },
@@ -64,12 +65,13 @@
     conditions: &'a Conditions,
     random: TestRandom,
     now: Micros,
-    /// When the last request may arrive.
-    stop: Micros,
-    /// By time, and by order of insertion.
-    schedule: BTreeMap<(Micros, u64), Occurrence>,
+    /// No request arrives after this time.
+    load_ends_at: Micros,
+    /// Ordered by time, then by order of insertion.
+    schedule: BTreeMap<(Micros, u64), ScheduledEvent>,
+    /// Number of events scheduled so far.
     scheduled: u64,
-    /// Events for heads at the present time.
+    /// Events for heads at the current time, each with the index of its head.
     inbox: Vec<(usize, Event)>,
     heads: Vec<SimulatedHead>,
     backends: Vec<SimulatedBackend>,
@@ -89,7 +91,7 @@
             conditions,
             random: TestRandom(seed),
             now: START,
-            stop: START + seconds * SECOND,
+            load_ends_at: START + seconds * SECOND,
             schedule: BTreeMap::new(),
             scheduled: 0,
             inbox: Vec::new(),
@@ -102,33 +104,33 @@
     }
 
     fn run(&mut self) {
-        self.schedule(START, Occurrence::Request);
-        self.schedule(START + SECOND, Occurrence::Churn);
+        self.schedule(START, ScheduledEvent::Request);
+        self.schedule(START + SECOND, ScheduledEvent::Churn);
         for head in 0..self.heads.len() {
             self.send_list(head, UpdateScope::Cached);
         }
         loop {
             self.deliver_inbox();
-            let Some(((at, _), occurrence)) = self.schedule.pop_first() else { break };
+            let Some(((at, _), event)) = self.schedule.pop_first() else { break };
             self.now = at;
-            match occurrence {
-                Occurrence::Request => self.on_request(),
-                Occurrence::Churn => self.on_churn(),
-                Occurrence::Timer { head, incarnation, token } => {
+            match event {
+                ScheduledEvent::Request => self.on_request(),
+                ScheduledEvent::Churn => self.on_churn(),
+                ScheduledEvent::Timer { head, incarnation, token } => {
                     if incarnation == self.heads[head].incarnation {
                         self.inbox.push((head, Event::Timer { token }));
                     }
                 }
-                Occurrence::AttemptEnd { head, incarnation, outcome } => {
+                ScheduledEvent::AttemptEnd { head, incarnation, outcome } => {
                     self.on_attempt_end(head, incarnation, outcome);
                 }
             }
         }
     }
 
-    fn schedule(&mut self, at: Micros, occurrence: Occurrence) {
+    fn schedule(&mut self, at: Micros, event: ScheduledEvent) {
         self.scheduled += 1;
-        self.schedule.insert((at, self.scheduled), occurrence);
+        self.schedule.insert((at, self.scheduled), event);
     }
 
     fn send_list(&mut self, head: usize, scope: UpdateScope) {
@@ -156,32 +158,32 @@
             (Action::Send { id, backend, timeout_at }, Some(attempt)) => {
                 let (at, end) = self.attempt_end(*timeout_at);
                 let outcome = outcome(*id, attempt, backend.0, end, at - self.now);
-                self.schedule(at, Occurrence::AttemptEnd { head, incarnation, outcome });
+                self.schedule(at, ScheduledEvent::AttemptEnd { head, incarnation, outcome });
             }
             (Action::SetTimer { at, token }, _) => {
                 let at = (*at).max(self.now + 1);
-                if at < self.stop + 10 * SECOND {
-                    self.schedule(at, Occurrence::Timer { head, incarnation, token: *token });
+                if at < self.load_ends_at + 10 * SECOND {
+                    self.schedule(at, ScheduledEvent::Timer { head, incarnation, token: *token });
                 }
             }
             _ => {}
         }
     }
 
-    /// When and how an attempt ends that is sent now and times out at `timeout_at`.
+    /// Draws when and how an attempt ends that is sent now and times out at `timeout_at`.
     fn attempt_end(&mut self, timeout_at: Micros) -> (Micros, AttemptEnd) {
-        let fails = self.random.below(100) < self.conditions.failing;
+        let fails = self.random.below(100) < self.conditions.failure_percent;
         let failures =
             [AttemptEnd::Error, AttemptEnd::Rejected, AttemptEnd::ConnectFailed, AttemptEnd::Reset];
         let end = if fails { failures[self.random.below(4) as usize] } else { AttemptEnd::Ok };
-        let at = self.now + 1 + self.random.below(self.conditions.slowest * MS);
+        let at = self.now + 1 + self.random.below(self.conditions.max_latency_ms * MS);
         if at >= timeout_at { (timeout_at.max(self.now + 1), AttemptEnd::Timeout) } else { (at, end) }
     }
 
     fn on_request(&mut self) {
-        if self.now < self.stop {
-            let gap = 1 + self.random.below(2 * SECOND / self.conditions.rate);
-            self.schedule(self.now + gap, Occurrence::Request);
+        if self.now < self.load_ends_at {
+            let gap = 1 + self.random.below(2 * SECOND / self.conditions.requests_per_second);
+            self.schedule(self.now + gap, ScheduledEvent::Request);
         }
         let head = self.random.below(self.heads.len() as u64) as usize;
         let request = self.draw_request();
@@ -195,7 +197,7 @@
         let class = random.below(self.settings.classes.len() as u64) as usize;
         let volume = random.below(6);
         let timeout = self.settings.classes[class].timeout;
-        let time_left = if random.chance(10) { random.below(timeout) } else { timeout };
+        let time_left = if random.happens(10) { random.below(timeout) } else { timeout };
         Request {
             id: self.requests,
             class,
@@ -204,27 +206,27 @@
             deadline: self.now + time_left,
             volume,
             units: 1.0 + random.below(self.settings.max_units as u64) as f64,
-            shard: (!random.chance(40)).then(|| random.below(BACKENDS) as u32),
+            shard: (!random.happens(40)).then(|| random.below(BACKENDS) as u32),
             volume_heads: self.heads.len() as f64,
         }
     }
 
-    /// Backends drain and come back, heads restart, polls fail; all heads get the list and events without
-    /// meaning.
+    /// Backends drain and start again, heads restart and polls fail. All heads get the current list, an
+    /// unknown timer and the end of an unknown request.
     fn on_churn(&mut self) {
-        if self.now < self.stop {
-            self.schedule(self.now + SECOND, Occurrence::Churn);
+        if self.now < self.load_ends_at {
+            self.schedule(self.now + SECOND, ScheduledEvent::Churn);
         }
         for backend in 0..self.backends.len() {
-            if self.random.chance(self.conditions.churn) {
-                self.flip_backend(backend);
+            if self.random.happens(self.conditions.churn_percent) {
+                self.toggle_backend(backend);
             }
         }
         for head in 0..self.heads.len() {
-            if self.random.chance(self.conditions.churn / 2) {
+            if self.random.happens(self.conditions.churn_percent / 2) {
                 self.restart_head(head);
                 self.send_list(head, UpdateScope::Cached);
-            } else if self.settings.permissions.must_poll && self.random.chance(10) {
+            } else if self.settings.permissions.must_poll && self.random.happens(10) {
                 let failed = Event::EndpointList { scope: UpdateScope::Failed, endpoints: Vec::new() };
                 self.inbox.push((head, failed));
             }
@@ -234,7 +236,7 @@
         }
     }
 
-    fn flip_backend(&mut self, index: usize) {
+    fn toggle_backend(&mut self, index: usize) {
         let backend = &mut self.backends[index];
         backend.is_ready = !backend.is_ready;
         if backend.is_ready {
--- a/crates/policy/tests/quota.rs
+++ b/crates/policy/tests/quota.rs
@@ -1,4 +1,4 @@
-//! The limits of volumes, and how long volumes are remembered.
+//! The limits of volumes, and when the state of idle volumes is dropped.
 
 mod common;
 
@@ -6,7 +6,8 @@
 use common::*;
 use sedgerun_policy::*;
 
-/// The first burst of a limited volume after a start stays within a part of the slack.
+/// A restarted head must not grant a limited volume a full burst again: its previous incarnation may just
+/// have granted one. The first burst stays within the slack of the limit.
 #[test]
 fn a_restarted_head_does_not_start_with_a_full_burst() {
     let mut head = TestHead::with_one_backend();
@@ -23,16 +24,16 @@
     assert!(units <= settings().plans[LIMITED].limit_slack, "{units}");
 }
 
-/// Sends a request for a volume of its own, which is served at once.
+/// Runs a request for a new volume, which is served at once.
 fn use_new_volume(head: &mut TestHead, now: Micros, id: RequestId) {
     let volume = u64::from(id) + 1;
     head.receive(now, Request { volume, ..request(id, IDEMPOTENT, Some(1), now + 2 * SECOND) });
     head.end_attempt(now + MS, outcome(id, 0, 1, AttemptEnd::Ok, MS));
 }
 
-/// Long days: state for every volume ever asked for grew for ever.
+/// In long runs, memory grew without bound with the state of every volume ever requested.
 #[test]
-fn volumes_that_are_not_asked_for_any_more_are_forgotten() {
+fn idle_volumes_are_dropped() {
     let mut head = TestHead::with_one_backend();
     let mut now = 2 * SECOND;
     let mut sizes = Vec::new();
@@ -49,7 +50,7 @@
     assert!(sizes[5] < sizes[2] + sizes[2] / 10, "{sizes:?}");
 }
 
-/// Uses so many new volumes within moments, and then none for 20 s.
+/// Runs a request for a new volume every 2 ms, and then none for 20 s.
 fn use_new_volumes(head: &mut TestHead, now: &mut Micros, ids: std::ops::Range<RequestId>) {
     for id in ids {
         use_new_volume(head, *now, id);
@@ -61,14 +62,15 @@
     }
 }
 
-/// Bad clients: names of volumes that do not exist were kept for a minute each, however many there were.
+/// Volumes that do not exist, requested by faulty clients, were kept for a minute each, whatever their
+/// number.
 #[test]
-fn volumes_by_the_thousand_are_forgotten_once_their_requests_are_over() {
+fn thousands_of_volumes_are_dropped_once_their_requests_have_ended() {
     let mut head = TestHead::with_one_backend();
     let mut now = 2 * SECOND;
     use_new_volumes(&mut head, &mut now, 0..1000);
     let few = head.state_size();
     use_new_volumes(&mut head, &mut now, 1000..5000);
-    // No more than some two thousand are left of five.
+    // About two thousand of the five thousand volumes may be left.
     assert!(head.state_size() < 3 * few, "{} after {few}", head.state_size());
 }
--- a/crates/policy/tests/regulator.rs
+++ b/crates/policy/tests/regulator.rs
@@ -34,11 +34,11 @@
         sent_before = sent;
         regulator.update(sample(latency, sent));
     }
-    assert!((latency - 1.0).abs() < 0.05, "settled at {latency} of the target");
+    assert!((latency - 1.0).abs() < 0.05, "latency is {latency} of the target");
 }
 
 #[test]
-fn anti_windup_keeps_the_rate_between_nothing_and_the_ceiling() {
+fn anti_windup_keeps_the_rate_between_zero_and_the_ceiling() {
     let mut regulator = SelfTuningRegulator::default();
     let (mut latency, mut sent) = (0.0, 80.0);
     for k in 0..200u32 {
@@ -61,13 +61,13 @@
     }
     let kept = regulator.model.theta;
     assert!(kept[1] > 0.0);
-    // More was sent and the latency fell a little: no such system exists.
+    // The latency falls though the rate rises, which no real system does.
     regulator.update(sample(latency - 0.4, sent_before + 6.0));
     assert!(regulator.model.theta[1] >= 0.0, "{:?}", regulator.model.theta);
 }
 
 #[test]
-fn a_regulator_with_few_responses_runs_anyway_after_a_few_periods() {
+fn a_regulator_with_few_responses_is_updated_after_a_few_periods() {
     let mut regulator = SelfTuningRegulator::default();
     for k in 0..8u32 {
         regulator.update(sample(0.5, 20.0 + f64::from(k * k % 5)));
@@ -76,14 +76,15 @@
     let rate = regulator.rate;
     regulator.update(few);
     regulator.update(few);
-    assert_eq!(regulator.rate, rate, "the conditional update law");
+    assert_eq!(regulator.rate, rate, "the rate changed in spite of the conditional update law");
     regulator.update(few);
-    assert_ne!(regulator.rate, rate, "the escape");
+    assert_ne!(regulator.rate, rate, "the rate did not change after the maximum of skipped periods");
 }
 
-/// Under six responses a busy regulator keeps its model and rate; an idle one goes to its ceiling.
+/// With fewer than six responses, the model and the rate are kept; the rate of an idle backend becomes the
+/// ceiling.
 #[test]
-fn few_responses_change_nothing_but_an_idle_regulator() {
+fn few_responses_change_only_the_rate_of_an_idle_backend() {
     let mut regulator = SelfTuningRegulator::default();
     let busy = sample(0.5, 40.0);
     for k in 0..4 {
@@ -96,7 +97,7 @@
     assert_eq!((regulator.model.theta, regulator.rate), (model.theta, 30.0));
 }
 
-/// The reset law on a backend over its target grants what it serves; otherwise the ceiling.
+/// After a reset, the rate of a backend above its target is the rate it serves; otherwise it is the ceiling.
 #[test]
 fn a_reset_over_the_target_does_not_overload_the_backend() {
     let half_served =
--- a/crates/policy/tests/selection.rs
+++ b/crates/policy/tests/selection.rs
@@ -1,4 +1,4 @@
-//! Which backend a request is sent to.
+//! The selection of a backend for a request.
 
 mod common;
 
@@ -6,18 +6,21 @@
 use common::*;
 use sedgerun_policy::*;
 
-/// Incident i7f82d5: a backend that answers with quick errors draws no new objects.
+/// Incident i7f82d5: a backend that failed every request quickly looked fast and attracted new objects.
 #[test]
-fn new_objects_avoid_a_backend_that_answers_with_errors() {
+fn new_objects_avoid_a_backend_that_responds_with_errors() {
     let (mut head, _) = TestHead::started(vec![ready(1, 1), ready(2, 2)]);
     let mut now = 2 * SECOND;
-    head.run_one_by_one(&mut now, 1..2, AttemptEnd::Ok, 20 * MS);
+    head.run_sequentially(&mut now, 1..2, AttemptEnd::Ok, 20 * MS);
     for id in 10..16 {
-        // Not idempotent: an error ends them, without a retry.
+        // The requests are not idempotent, so they are not retried after an error.
         head.receive(now, request(id, ORDERED, Some(1), now + 4 * SECOND));
         now += MS;
         let end = head.end_attempt(now, outcome(id, 0, 1, AttemptEnd::Error, MS));
-        assert!(end.contains(&Action::Fail { id }), "what may have run is failed, not rejected");
+        assert!(
+            end.contains(&Action::Fail { id }),
+            "a request that may have run must be failed, not rejected"
+        );
     }
     for id in 20..23 {
         now += MS;
@@ -26,18 +29,18 @@
     }
 }
 
-/// A request with an idempotency key that may have run stays with its shard even when its backend left the
-/// list and memory.
+/// A request with an idempotency key that may have run stays in the shard of its backend, even after the
+/// backend was removed from the list and dropped. Other shards would not recognise its key.
 #[test]
-fn a_removed_backend_keeps_its_requests_with_idempotency_key_in_their_shard() {
+fn a_request_with_an_idempotency_key_stays_in_the_shard_of_a_removed_backend() {
     let (mut head, _) = TestHead::started(vec![ready(1, 1), endpoint(2, 2, 0, Readiness::Draining)]);
     let now = 2 * SECOND;
     let first = head.receive(now, request(1, WITH_KEY, None, now + 3 * SECOND));
     assert_eq!(sends(&first), [(1, 1)]);
     let other_shard_only = vec![ready(2, 2)];
-    head.list(now + MS, UpdateScope::Full, other_shard_only.clone());
+    head.update_endpoints(now + MS, UpdateScope::Full, other_shard_only.clone());
     head.end_attempt(now + 2 * MS, outcome(1, 0, 1, AttemptEnd::Reset, MS));
-    let after = head.list(now + 3 * MS, UpdateScope::Full, other_shard_only);
+    let after = head.update_endpoints(now + 3 * MS, UpdateScope::Full, other_shard_only);
     let sweep = head.timer(now + 10 * MS, SWEEP_TIMER);
     assert!(sends(&after).is_empty() && sends(&sweep).is_empty(), "{after:?} {sweep:?}");
 }
--- a/crates/policy/tests/stalled_attempts.rs
+++ b/crates/policy/tests/stalled_attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts on connections that fell silent, at backends that answer others.
+//! Attempts on unresponsive connections, at backends that respond on other connections.
 
 mod common;
 
@@ -10,13 +10,13 @@
     sends(&head.receive(now, request(id, IDEMPOTENT, Some(1), now + 2 * SECOND)))
 }
 
-/// Silent connections: an attempt on one occupied its backend until it timed out, and its timeout counted as
-/// the backend's latency, though all that was sent later was answered.
+/// An attempt on an unresponsive connection occupied a concurrency slot of its backend until it timed out,
+/// and its timeout counted as a latency of the backend, though all later attempts got their responses.
 #[test]
-fn an_attempt_that_later_ones_overtake_occupies_nothing_and_tells_nothing_of_its_backend() {
+fn an_overtaken_attempt_occupies_no_slot_and_its_timeout_is_not_recorded() {
     let mut head = TestHead::with_one_backend();
     let mut now = 2 * SECOND;
-    // Three are silent; what is sent after them is answered.
+    // Three attempts get no response; all later attempts do.
     for id in 1..=3 {
         assert_eq!(send(&mut head, now, id).len(), 1);
         now += MS;
@@ -26,13 +26,13 @@
         now += 10 * MS;
         head.end_attempt(now, outcome(id, 0, 1, AttemptEnd::Ok, 10 * MS));
     }
-    // Their places are free for others.
+    // The slots of the three are free for others.
     let sent_at_once: usize = (20..26).map(|id| send(&mut head, now, id).len()).sum();
-    assert!(sent_at_once >= 4, "{sent_at_once} sent");
+    assert!(sent_at_once >= 4, "only {sent_at_once} sent");
     for id in 20..26 {
         head.end_attempt(now + 10 * MS, outcome(id, 0, 1, AttemptEnd::Ok, 10 * MS));
     }
-    // Their timeouts keep nobody out.
+    // Their timeouts do not hold back further requests.
     now += 900 * MS;
     for id in 1..=3 {
         head.end_attempt(now, outcome(id, 0, 1, AttemptEnd::Timeout, 950 * MS));
@@ -40,25 +40,25 @@
     assert_eq!(send(&mut head, now + MS, 30).len(), 1);
 }
 
-/// Silent connections: the attempts on them filled the concurrency limit of a backend, and nothing else was
-/// sent there until they timed out, which for a large read is long after every small one's latency objective.
+/// Attempts on unresponsive connections used up the concurrency limit of a backend, and nothing else was sent
+/// there until they timed out. For large reads that is long after the latency objective of every small one.
 #[test]
-fn a_backend_that_falls_silent_is_tried_again_before_its_attempts_time_out() {
+fn an_unresponsive_backend_is_probed_before_its_attempts_time_out() {
     let mut head = TestHead::with_one_backend();
     let mut now = 2 * SECOND;
-    head.run_one_by_one(&mut now, 1..9, AttemptEnd::Ok, 10 * MS);
+    head.run_sequentially(&mut now, 1..9, AttemptEnd::Ok, 10 * MS);
     head.timer(now, PERIOD_TIMER);
-    // As many as may be in flight all fall silent; what comes then waits.
+    // Attempts without a response fill the concurrency limit; the next request is queued.
     let filled = (20..60).take_while(|id| !send(&mut head, now, *id).is_empty()).count();
     assert!((2..30).contains(&filled), "{filled} sent");
-    let mut trials = Vec::new();
-    while trials.is_empty() {
+    let mut probes = Vec::new();
+    while probes.is_empty() {
         now += 5 * MS;
-        trials = sends(&head.timer(now, SWEEP_TIMER));
-        assert!(now < 3 * SECOND, "nothing tries the backend");
+        probes = sends(&head.timer(now, SWEEP_TIMER));
+        assert!(now < 3 * SECOND, "the backend is not probed");
     }
-    assert_eq!(trials.len(), 1, "one at a time: {trials:?}");
-    // It is answered: those before it are stalled, and occupy nothing.
-    head.end_attempt(now + 10 * MS, outcome(trials[0].0, 0, 1, AttemptEnd::Ok, 10 * MS));
+    assert_eq!(probes.len(), 1, "more than one probe at a time: {probes:?}");
+    // The probe gets a response: the attempts before it are stalled and occupy no slots.
+    head.end_attempt(now + 10 * MS, outcome(probes[0].0, 0, 1, AttemptEnd::Ok, 10 * MS));
     assert_eq!(send(&mut head, now + 11 * MS, 70), [(70, 1)]);
 }
--- a/crates/policy/tests/odd_events.rs
+++ b/crates/policy/tests/unexpected_events.rs
@@ -1,4 +1,4 @@
-//! Events that are odd, and that a head may still send.
+//! Unusual events that a head may still send.
 
 mod common;
 
@@ -6,20 +6,20 @@
 use common::*;
 use sedgerun_policy::*;
 
-/// Odd but legal events never panic and never act on what is unknown.
+/// Unusual but valid events cause no panic and no action for unknown requests, backends or classes.
 #[test]
-fn odd_events_are_harmless() {
+fn unexpected_events_are_handled_safely() {
     let (mut head, _) = TestHead::started(vec![ready(1, 1), ready(1, 1)]);
     let now = 3 * SECOND;
     for units in [f64::NAN, f64::INFINITY, -1.0, 0.0] {
         let id = 50 + head.end_request(now, 1).len() as u32 + units.to_bits() as u32 % 997;
-        let odd = Request { units, volume_heads: units, ..request(id, IDEMPOTENT, None, now - SECOND) };
-        let actions = head.receive(now, odd);
+        let invalid = Request { units, volume_heads: units, ..request(id, IDEMPOTENT, None, now - SECOND) };
+        let actions = head.receive(now, invalid);
         let more = head.timer(now + 1, SWEEP_TIMER);
         assert!(!actions.is_empty() || !more.is_empty());
     }
     head.end_attempt(now, outcome(999, 3, 9, AttemptEnd::Reset, 0));
-    head.list(now, UpdateScope::Full, Vec::new());
+    head.update_endpoints(now, UpdateScope::Full, Vec::new());
     let without_backend = request(700, IDEMPOTENT, None, now + SECOND);
     assert!(sends(&head.receive(now, without_backend)).is_empty());
     let last = head.timer(now + SECOND, SWEEP_TIMER);
