--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -92,7 +92,7 @@
     request.volume_heads = request.volume_heads.max(1.0).min(f64::from(settings.heads.max(1)));
 }
 
-/// Whether a request that is not in flight can not get a response in time, or would use capacity that other
+/// Whether a request that is not in flight cannot get a response in time, or would use capacity that other
 /// requests need to meet their latency objective.
 fn should_shed(
     request: &OpenRequest,
@@ -115,7 +115,7 @@
     let is_limit_scarce = is_overdue
         && !request.quota_charged
         && quota.is_some_and(|quota| !quota.admits_with_margin(request.spec.units, settings.max_units, now));
-    // Rejects an overdue request that was never sent once half of its time is over, while its client still
+    // An overdue request that was never sent is shed once half of its time is over, while its client still
     // has time to retry. This loses value where late responses have nearly full weight.
     let is_unsent_past_half_time = request.attempts == 0 && now >= request.half_time_at;
 
--- a/crates/policy/src/backend/health.rs
+++ b/crates/policy/src/backend/health.rs
@@ -63,8 +63,8 @@
         self.last_response_at = now;
     }
 
-    /// Whether a response at `now` ends an outage: more than one failure, and more than
-    /// `timeout` without a response.
+    /// Whether a response at `now` ends an outage: several failures in a row, and no response for more than
+    /// `timeout`.
     pub(crate) fn is_recovering_after(&self, timeout: Micros, now: Micros) -> bool {
         self.consecutive_failures > 1 && self.time_since_response(now) > timeout
     }
@@ -98,7 +98,7 @@
         self.count_failure_while_available();
     }
 
-    /// Counts a failure, except for the last one that would make the backend unavailable.
+    /// Counts a failure unless it would make the backend unavailable.
     fn count_failure_while_available(&mut self) {
         if !self.is_nearly_unavailable() {
             self.consecutive_failures += 1;
--- a/crates/policy/src/regulator/mod.rs
+++ b/crates/policy/src/regulator/mod.rs
@@ -12,10 +12,10 @@
 /// With fewer responses in a period, the conditional update law keeps the model and the rate (value from the
 /// paper).
 const MIN_RESPONSES: u32 = 6;
-/// The conditional update law skips fewer consecutive periods than this, so that a regulator with few
-/// responses does not stay at its rate for ever. Departure: the paper runs one random regulator of all
-/// instead.
-const MAX_SKIPPED_PERIODS: u32 = 3;
+/// In this many consecutive periods with too few responses, the regulator is updated in the last one, unless
+/// that had no response at all. Otherwise a regulator with few responses would keep its rate for ever.
+/// Departure: the paper updates one random regulator of all instead.
+const FORCED_UPDATE_PERIODS: u32 = 3;
 /// Relative change of a parameter above which the reset law discards the model (value from the paper).
 const RESET_CHANGE: f64 = 0.3;
 /// Periods before the reset law applies to a new model: one for each parameter.
@@ -81,7 +81,7 @@
             if sample.is_idle || self.rate > sample.ceiling {
                 self.rate = sample.ceiling;
             }
-            if self.skipped_periods < MAX_SKIPPED_PERIODS || sample.responses == 0 {
+            if self.skipped_periods < FORCED_UPDATE_PERIODS || sample.responses == 0 {
                 return true;
             }
         }
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -126,7 +126,7 @@
     pub duration: Micros,
     /// A backend in slow start fails when it is sent more than this multiple of its current capacity.
     pub overload_factor: f64,
-    /// The window over which the load is counted for that; 0: no slow start.
+    /// The window over which the load is compared with the capacity; 0: no slow start.
     pub overload_window: Micros,
     /// Units within the window, from all heads together, that a backend has capacity for even at its start.
     pub safe_units: f64,
--- a/crates/policy/tests/load_shedding.rs
+++ b/crates/policy/tests/load_shedding.rs
@@ -6,8 +6,8 @@
 use common::*;
 use sedgerun_policy::*;
 
-/// Incident id2de28: overdue requests were sent to a congested backend or kept in the queue. They must be
-/// rejected.
+/// Incident id2de28: an overdue request must be rejected at once while the latency of its backend is above
+/// the threshold. It must not be sent or kept in the queue.
 #[test]
 fn an_overdue_request_is_rejected_while_its_backend_is_congested() {
     let mut head = TestHead::with_one_backend();
@@ -26,8 +26,8 @@
     assert!(rejected >= 8, "{rejected} rejected");
 }
 
-/// Incidents i9f8e35, icc8011, ic64ebb: in a large cluster most heads have nothing in flight at a backend. If
-/// each of them sent one overdue request to a backend that was just slow, the backend would stay congested.
+/// Incidents i9f8e35, icc8011, ic64ebb: in a large cluster most heads have nothing in flight at a backend. A
+/// backend that was just slow must not get one overdue request from each of them.
 #[test]
 fn with_nothing_in_flight_an_overdue_request_is_not_sent_to_a_slow_backend() {
     let mut head = TestHead::with_one_backend();
@@ -47,8 +47,8 @@
 }
 
 /// After one long stall a backend with nothing in flight counted as congested for seconds, because only a
-/// response could show otherwise. All requests for it were rejected meanwhile. Seen in runs with many backend
-/// restarts.
+/// response could show otherwise. All requests for it were rejected meanwhile. Seen in runs with backend
+/// churn.
 #[test]
 fn a_backend_with_nothing_in_flight_is_probed_soon_after_a_stall() {
     let mut head = TestHead::with_one_backend();
--- a/crates/policy/tests/regulator.rs
+++ b/crates/policy/tests/regulator.rs
@@ -78,7 +78,7 @@
     regulator.update(few);
     assert_eq!(regulator.rate, rate, "the rate changed in spite of the conditional update law");
     regulator.update(few);
-    assert_ne!(regulator.rate, rate, "the rate did not change after the maximum of skipped periods");
+    assert_ne!(regulator.rate, rate, "the rate did not change in the third period");
 }
 
 /// With fewer than six responses, the model and the rate are kept; the rate of an idle backend becomes the
--- a/crates/policy/tests/selection.rs
+++ b/crates/policy/tests/selection.rs
@@ -6,7 +6,7 @@
 use common::*;
 use sedgerun_policy::*;
 
-/// Incident i7f82d5: a backend that failed every request quickly looked fast and attracted new objects.
+/// Incident i7f82d5: a backend that responds with fast errors must not attract new objects.
 #[test]
 fn new_objects_avoid_a_backend_that_responds_with_errors() {
     let (mut head, _) = TestHead::started(vec![ready(1, 1), ready(2, 2)]);
--- a/crates/policy/tests/unexpected_events.rs
+++ b/crates/policy/tests/unexpected_events.rs
@@ -1,4 +1,4 @@
-//! Unusual events that a head may still send.
+//! Unexpected events that a head may still send.
 
 mod common;
 
@@ -6,7 +6,7 @@
 use common::*;
 use sedgerun_policy::*;
 
-/// Unusual but valid events cause no panic and no action for unknown requests, backends or classes.
+/// Unexpected but valid events cause no panic and no action for unknown requests, backends or classes.
 #[test]
 fn unexpected_events_are_handled_safely() {
     let (mut head, _) = TestHead::started(vec![ready(1, 1), ready(1, 1)]);
