--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -1,8 +1,8 @@
 //! The dispatcher: tracks open requests, their attempts and their timers, and applies the decisions of the
 //! [`Controller`]. It has no knowledge of wire formats: request payloads and responses are opaque to it.
 //!
-//! Whatever the controller decides, the dispatcher guarantees that each request gets exactly one final response
-//! before its deadline and has at most one attempt in flight.
+//! Whatever the controller decides, the dispatcher guarantees that each request gets exactly one final
+//! response before its deadline and has at most one attempt in flight.
 
 use crate::effect::{Effect, FinalResponse};
 use crate::request::{AttemptInFlight, AttemptResult, OpenRequest, RequestSpec};
@@ -14,9 +14,9 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
-/// How long before a request's deadline the controller must have decided, in microseconds. This leaves time for a
-/// few turns of the event loop on a busy core, so that the final response comes from the controller and not from
-/// the dispatcher's deadline timer, which expires half this margin before the deadline.
+/// How long before a request's deadline the controller must have decided, in microseconds. This leaves time
+/// for a few turns of the event loop on a busy core, so that the final response comes from the controller and
+/// not from the dispatcher's deadline timer, which expires half this margin before the deadline.
 const RESPONSE_MARGIN: Micros = 12_000;
 
 /// The dispatcher of one head. `P` is the payload that is sent to a backend, `R` the backend's response.
@@ -37,7 +37,8 @@
 }
 
 impl<P, R> Dispatcher<P, R> {
-    /// Creates a dispatcher with a new controller that accepts at most `max_open_requests` requests at a time.
+    /// Creates a dispatcher with a new controller that accepts at most `max_open_requests` requests at a
+    /// time.
     pub fn new(settings: Settings, seed: u64, max_open_requests: usize) -> Self {
         Dispatcher {
             controller: Controller::new(settings, seed),
@@ -72,9 +73,9 @@
         self.attempts.values().any(|attempt| attempt.backend == backend)
     }
 
-    /// Requests submitted from now on get their final response by this time, even if their own deadline is later.
-    /// The controller still sees the client's deadline: with a shorter one it would take new requests for retries
-    /// that have little time left.
+    /// Requests submitted from now on get their final response by this time, even if their own deadline is
+    /// later. The controller still sees the client's deadline: with a shorter one it would take new requests
+    /// for retries that have little time left.
     pub fn set_shutdown_deadline(&mut self, at: Micros) {
         self.shutdown_deadline = at;
     }
@@ -97,15 +98,16 @@
         Some(id)
     }
 
-    /// Drops a request whose client has disconnected, without a final response. An attempt in flight continues.
+    /// Drops a request whose client has disconnected, without a final response. An attempt in flight
+    /// continues.
     pub fn client_disconnected(&mut self, now: Micros, id: RequestId) {
         if self.requests.remove(&id).is_some() {
             self.handle_event(now, Event::RequestEnded { id });
         }
     }
 
-    /// Cancels a request for a client that still expects a final response. No further attempt starts. The backend
-    /// may already have executed an attempt in flight, so its response is still passed on.
+    /// Cancels a request for a client that still expects a final response. No further attempt starts. The
+    /// backend may already have executed an attempt in flight, so its response is still passed on.
     pub fn cancel(&mut self, now: Micros, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.is_cancelled = true;
@@ -121,8 +123,8 @@
         if let Some(request) = self.requests.get_mut(&id) {
             request.attempt_in_flight = request.attempt_in_flight.filter(|other| *other != attempt);
         }
-        // Only a successful attempt ends its request here. After any other end the request stays open until the
-        // controller retries, rejects or fails it, so that no request is lost.
+        // Only a successful attempt ends its request here. After any other end the request stays open until
+        // the controller retries, rejects or fails it, so that no request is lost.
         if let (AttemptEnd::Ok, Some(response)) = (end, response) {
             self.respond(id, FinalResponse::Served(response));
         }
@@ -163,7 +165,8 @@
         if let Some(attempt) = self.requests.get(&id).and_then(|request| request.attempt_in_flight) {
             self.abandon_attempt(now, id, attempt, AttemptEnd::Timeout);
         }
-        // The controller may still hold the request in its queue; the client must get a response in time anyway.
+        // The controller may still hold the request in its queue; the client must get a response in time
+        // anyway.
         self.end_unserved(now, id);
     }
 
@@ -226,8 +229,8 @@
         let attempt = request.next_attempt_number();
         self.attempts.insert((id, attempt), AttemptInFlight { backend, sent_at: now });
         if !may_send {
-            // At most one attempt may be in flight, and none starts for a cancelled request. The controller has
-            // asked for this attempt, so it is told that the attempt ended unsent.
+            // At most one attempt may be in flight, and none starts for a cancelled request. The controller
+            // has asked for this attempt, so it is told that the attempt ended unsent.
             self.attempt_ended(
                 now,
                 id,
--- a/crates/dispatch/src/effect.rs
+++ b/crates/dispatch/src/effect.rs
@@ -8,15 +8,15 @@
 pub enum FinalResponse<R> {
     /// The backend's response.
     Served(R),
-    /// No attempt has executed the request, so that a retry is safe. The value is the time that the client should
-    /// wait before the retry, in microseconds; 0: none is given.
+    /// No attempt has executed the request, so that a retry is safe. The value is the time that the client
+    /// should wait before the retry, in microseconds; 0: none is given.
     Rejected(Micros),
     /// An attempt may have executed the request; its result is unknown.
     Failed,
 }
 
-/// An operation that the dispatcher requests from its owner. `P` is the payload that is sent to a backend, `R` the
-/// backend's response.
+/// An operation that the dispatcher requests from its owner. `P` is the payload that is sent to a backend,
+/// `R` the backend's response.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect<P, R> {
     /// Start an attempt.
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -1,9 +1,11 @@
-//! The life of a request: its attempts, its timers and its one final answer, round the decisions of
-//! `sedgerun_policy`; and the overrides by which operators take backends out of rotation.
+//! The lifecycle of a request, from submission through its attempts and timers to its final response. The
+//! decisions themselves (admission, choice of backend, retries) are made by `sedgerun_policy`. The crate also
+//! holds the overrides with which operators take backends out of rotation, and the parser of operators'
+//! commands.
 //!
-//! Everything here is a state machine without I/O and without a clock: time comes in as an argument of each call,
-//! and what is to be done comes out as [`Effect`]s. Whoever owns a [`Dispatcher`] feeds it events and carries its
-//! effects out: the program on sockets, the simulator on virtual time.
+//! The crate performs no I/O and reads no clock: the current time is an argument of each method, and a
+//! [`Dispatcher`] returns the operations to perform as [`Effect`]s. Its owner feeds it events and carries out
+//! the effects: the gateway with sockets, the simulator in virtual time.
 
 mod backend_overrides;
 mod dispatcher;
--- a/crates/dispatch/src/request.rs
+++ b/crates/dispatch/src/request.rs
@@ -1,5 +1,5 @@
-//! Requests and attempts: what a frontend submits, what a backend connection reports, and the dispatcher's state
-//! of each while it is open.
+//! Requests and attempts: what a frontend submits, what a backend connection reports, and the dispatcher's
+//! state of each while it is open.
 
 use crate::effect::FinalResponse;
 use sedgerun_policy::{AttemptEnd, BackendId, Micros, Request, RequestId};
@@ -27,7 +27,8 @@
 }
 
 impl RequestSpec {
-    /// Converts to the controller's request type, with the deadline by which the controller must have decided.
+    /// Converts to the controller's request type, with the deadline by which the controller must have
+    /// decided.
     pub(crate) fn into_request(self, id: RequestId, deadline: Micros) -> Request {
         let RequestSpec { class, plan, key, volume, units, shard, volume_heads, .. } = self;
         Request { id, class, plan, key, deadline, volume, units, shard, volume_heads }
@@ -41,7 +42,8 @@
     pub end: AttemptEnd,
     /// The response to pass on, if there is one.
     pub response: Option<R>,
-    /// The volume's load at all heads, as a multiple of its plan's rate; `None` if the backend did not report it.
+    /// The volume's load at all heads, as a multiple of its plan's rate; `None` if the backend did not report
+    /// it.
     pub volume_usage: Option<f64>,
     /// Units that the backend has served this volume for requests that came through other heads.
     pub units_elsewhere: f64,
@@ -92,8 +94,8 @@
         self.attempt_in_flight.is_none() && !self.is_cancelled
     }
 
-    /// The final response for a request that no backend has served. A rejection tells the client that a retry is
-    /// safe, so it is given only if no attempt has started.
+    /// The final response for a request that no backend has served. A rejection tells the client that a retry
+    /// is safe, so it is given only if no attempt has started.
     pub fn unserved_response<R>(&self) -> FinalResponse<R> {
         if self.attempts_started == 0 { FinalResponse::Rejected(0) } else { FinalResponse::Failed }
     }
--- a/crates/dispatch/src/timers.rs
+++ b/crates/dispatch/src/timers.rs
@@ -5,7 +5,8 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// The purpose of a timer. Timers with the same expiry run in the order of the variants, then of their fields.
+/// The purpose of a timer. Timers with the same expiry run in the order of the variants, then of their
+/// fields.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum TimerKind {
     /// A timer that the controller has set, with its token.
--- a/crates/dispatch/tests/backend_overrides.rs
+++ b/crates/dispatch/tests/backend_overrides.rs
@@ -1,4 +1,4 @@
-//! Backends that operators disable: what the controller is shown of them, and how they come back.
+//! Disabled backends: the endpoint entries that the controller gets for them, and their return to rotation.
 
 use sedgerun_dispatch::{BackendOverrides, OverrideError};
 use sedgerun_policy::{BackendId, Endpoint, Readiness, UpdateScope};
@@ -9,21 +9,21 @@
 }
 
 #[test]
-fn a_disabled_backend_is_shown_as_draining_whatever_the_list_says() {
+fn a_disabled_backend_is_passed_on_as_draining_when_the_list_gives_it_as_ready() {
     let mut overrides = BackendOverrides::default();
     overrides.filter(UpdateScope::Full, vec![entry(1, Readiness::Ready), entry(2, Readiness::Ready)]);
     assert_eq!(overrides.disable(BackendId(1)), Ok(vec![entry(1, Readiness::Draining)]));
-    let shown =
+    let entries =
         overrides.filter(UpdateScope::Full, vec![entry(1, Readiness::Ready), entry(2, Readiness::Ready)]);
-    assert_eq!(shown, vec![entry(1, Readiness::Draining), entry(2, Readiness::Ready)]);
-    let shown = overrides.filter(UpdateScope::Delta, vec![entry(1, Readiness::Ready)]);
-    assert_eq!(shown, vec![entry(1, Readiness::Draining)]);
+    assert_eq!(entries, vec![entry(1, Readiness::Draining), entry(2, Readiness::Ready)]);
+    let entries = overrides.filter(UpdateScope::Delta, vec![entry(1, Readiness::Ready)]);
+    assert_eq!(entries, vec![entry(1, Readiness::Draining)]);
     assert_eq!(overrides.out_of_rotation_count(), 1);
     assert_eq!(overrides.listed_count(), 2);
 }
 
 #[test]
-fn disabling_twice_needs_one_enabling_and_the_backend_warms_up_again() {
+fn a_backend_disabled_twice_is_enabled_once_and_counts_as_just_started() {
     let mut overrides = BackendOverrides::default();
     overrides.filter(UpdateScope::Full, vec![entry(1, Readiness::Ready)]);
     assert!(overrides.disable(BackendId(1)).is_ok());
@@ -36,38 +36,38 @@
 }
 
 #[test]
-fn overrides_of_an_earlier_process_apply_before_the_list_is_known() {
+fn overrides_handed_over_by_another_process_apply_before_the_list_is_known() {
     let mut overrides = BackendOverrides::default();
     assert!(overrides.set_disabled_by_head(BTreeSet::from([BackendId(1)]), 6).is_empty());
-    let shown = overrides.filter(UpdateScope::Cached, vec![entry(1, Readiness::Ready)]);
-    assert_eq!(shown, vec![entry(1, Readiness::Draining)]);
-    let lifted = overrides.set_disabled_by_head(BTreeSet::new(), 7);
-    assert_eq!(lifted, vec![Endpoint { started_at: 7, ..entry(1, Readiness::Ready) }]);
+    let entries = overrides.filter(UpdateScope::Cached, vec![entry(1, Readiness::Ready)]);
+    assert_eq!(entries, vec![entry(1, Readiness::Draining)]);
+    let enabled = overrides.set_disabled_by_head(BTreeSet::new(), 7);
+    assert_eq!(enabled, vec![Endpoint { started_at: 7, ..entry(1, Readiness::Ready) }]);
     let disabled = overrides.set_disabled_by_head(BTreeSet::from([BackendId(1)]), 8);
     assert_eq!(disabled[0].readiness, Readiness::Draining);
 }
 
 #[test]
-fn an_override_of_the_cluster_and_one_of_this_head_each_keep_a_backend_out() {
+fn a_backend_stays_out_of_rotation_until_both_head_and_cluster_enable_it() {
     let mut overrides = BackendOverrides::default();
     overrides.filter(UpdateScope::Full, vec![entry(1, Readiness::Ready), entry(2, Readiness::Ready)]);
     let both = BTreeSet::from([BackendId(1), BackendId(2)]);
-    let shown = overrides.set_disabled_by_cluster(both.clone(), 1);
-    assert_eq!(shown, vec![entry(1, Readiness::Draining), entry(2, Readiness::Draining)]);
-    assert!(overrides.set_disabled_by_cluster(both, 1).is_empty(), "no change is shown twice");
+    let entries = overrides.set_disabled_by_cluster(both.clone(), 1);
+    assert_eq!(entries, vec![entry(1, Readiness::Draining), entry(2, Readiness::Draining)]);
+    assert!(overrides.set_disabled_by_cluster(both, 1).is_empty(), "a repeated override changes nothing");
     assert!(overrides.disable(BackendId(1)).is_ok());
     assert_eq!(overrides.out_of_rotation_count(), 2);
     let restarted = Endpoint { started_at: 7, ..entry(2, Readiness::Ready) };
     assert_eq!(
         overrides.set_disabled_by_cluster(BTreeSet::new(), 7),
         vec![restarted],
-        "this head still disables the first"
+        "this head still disables backend 1"
     );
     assert_eq!(
         overrides.filter(UpdateScope::Delta, vec![entry(1, Readiness::Ready)]),
         vec![entry(1, Readiness::Draining)]
     );
     overrides.set_disabled_by_cluster(BTreeSet::from([BackendId(1)]), 8);
-    assert_eq!(overrides.enable(BackendId(1), 9), Ok(vec![]), "the cluster still disables it");
+    assert_eq!(overrides.enable(BackendId(1), 9), Ok(vec![]), "the cluster still disables the backend");
     assert!(overrides.is_disabled(BackendId(1)));
 }
--- a/crates/dispatch/tests/dispatcher.rs
+++ b/crates/dispatch/tests/dispatcher.rs
@@ -1,4 +1,5 @@
-//! The dispatcher without sockets: one final answer for each request, at most one attempt in flight.
+//! The dispatcher without sockets: exactly one final response for each request, at most one attempt in
+//! flight.
 
 use sedgerun_dispatch::{AttemptResult, Dispatcher, Effect, FinalResponse, RequestSpec};
 use sedgerun_policy::*;
@@ -7,10 +8,10 @@
 const NOW: Micros = 1_000_000_000;
 
 fn settings() -> Settings {
-    let class = |repeat| RequestClass {
+    let class = |idempotency| RequestClass {
         latency_objective: 200 * MS,
         deadline: 1_000 * MS,
-        idempotency: repeat,
+        idempotency,
         deduplication_scope: DeduplicationScope::All,
         deduplication_window: 0,
         ordered_by_key: false,
@@ -53,141 +54,147 @@
     RequestSpec { class, plan: 0, key: 7, deadline, volume: 9, units: 2.0, shard: Some(3), volume_heads: 1.0 }
 }
 
-fn effects(
+fn take_effects(
     dispatcher: &mut Dispatcher<&'static str, &'static str>,
 ) -> Vec<Effect<&'static str, &'static str>> {
     std::iter::from_fn(|| dispatcher.next_effect()).collect()
 }
 
-fn finals(dispatcher: &mut Dispatcher<&'static str, &'static str>) -> Vec<FinalResponse<&'static str>> {
-    let answer = |effect| if let Effect::Respond { response, .. } = effect { Some(response) } else { None };
-    effects(dispatcher).into_iter().filter_map(answer).collect()
+fn final_responses(
+    dispatcher: &mut Dispatcher<&'static str, &'static str>,
+) -> Vec<FinalResponse<&'static str>> {
+    let response = |effect| if let Effect::Respond { response, .. } = effect { Some(response) } else { None };
+    take_effects(dispatcher).into_iter().filter_map(response).collect()
 }
 
-/// Runs the timers up to a time, and gathers the final answers.
-fn run(
+/// Runs all timers that expire by `until` and returns the final responses in order.
+fn run_timers(
     dispatcher: &mut Dispatcher<&'static str, &'static str>,
     until: Micros,
 ) -> Vec<FinalResponse<&'static str>> {
-    let mut all = Vec::new();
-    while let Some(due) = dispatcher.next_timer().filter(|due| *due <= until) {
-        dispatcher.run_expired_timers(due);
-        all.extend(finals(dispatcher));
+    let mut responses = Vec::new();
+    while let Some(expiry) = dispatcher.next_timer().filter(|expiry| *expiry <= until) {
+        dispatcher.run_expired_timers(expiry);
+        responses.extend(final_responses(dispatcher));
     }
-    all
+    responses
 }
 
 #[test]
-fn an_attempt_that_times_out_still_brings_a_final_answer() {
+fn a_request_whose_attempt_times_out_gets_a_final_response() {
     for (class, is_rejected) in [(0, true), (1, false)] {
         let mut dispatcher = dispatcher();
-        assert!(dispatcher.submit(NOW, spec(class), "job").is_some());
-        let answers = run(&mut dispatcher, NOW + 1_000 * MS);
-        assert_eq!(answers.len(), 1, "class {class}: {answers:?}");
+        assert!(dispatcher.submit(NOW, spec(class), "payload").is_some());
+        let responses = run_timers(&mut dispatcher, NOW + 1_000 * MS);
+        assert_eq!(responses.len(), 1, "class {class}: {responses:?}");
         assert_eq!(
-            matches!(answers[0], FinalResponse::Rejected(_)),
+            matches!(responses[0], FinalResponse::Rejected(_)),
             is_rejected,
-            "class {class}: {answers:?}"
+            "class {class}: {responses:?}"
         );
         assert_eq!(dispatcher.open_requests(), 0);
     }
 }
 
 #[test]
-fn a_request_that_a_backend_rejected_unseen_is_sent_again() {
+fn a_request_that_a_backend_rejects_is_retried() {
     let mut dispatcher = dispatcher();
-    let id = dispatcher.submit(NOW, spec(1), "job").expect("capacity");
-    effects(&mut dispatcher);
+    let id = dispatcher.submit(NOW, spec(1), "payload").expect("capacity");
+    take_effects(&mut dispatcher);
     dispatcher.attempt_ended(NOW + MS, id, 0, AttemptResult::without_response(AttemptEnd::Rejected));
-    let mut sends = effects(&mut dispatcher);
+    let mut sends = take_effects(&mut dispatcher);
     for step in 1..100 {
         dispatcher.run_expired_timers(NOW + MS + step * MS);
-        sends.extend(effects(&mut dispatcher));
+        sends.extend(take_effects(&mut dispatcher));
     }
-    let again = sends.iter().any(|effect| matches!(effect, Effect::Send { attempt: 1, .. }));
-    assert!(again, "{sends:?}");
+    let is_retried = sends.iter().any(|effect| matches!(effect, Effect::Send { attempt: 1, .. }));
+    assert!(is_retried, "{sends:?}");
 }
 
 #[test]
-fn a_write_whose_connection_broke_fails_and_is_never_sent_again() {
+fn a_non_idempotent_request_fails_without_retry_when_its_connection_breaks() {
     let mut dispatcher = dispatcher();
-    let id = dispatcher.submit(NOW, spec(1), "job").expect("capacity");
-    effects(&mut dispatcher);
+    let id = dispatcher.submit(NOW, spec(1), "payload").expect("capacity");
+    take_effects(&mut dispatcher);
     dispatcher.attempt_ended(NOW + MS, id, 0, AttemptResult::without_response(AttemptEnd::Reset));
-    assert_eq!(finals(&mut dispatcher), [FinalResponse::Failed]);
-    assert_eq!(run(&mut dispatcher, NOW + 2_000 * MS), []);
+    assert_eq!(final_responses(&mut dispatcher), [FinalResponse::Failed]);
+    assert_eq!(run_timers(&mut dispatcher, NOW + 2_000 * MS), []);
 }
 
 #[test]
-fn an_answer_is_given_once_and_a_second_end_is_ignored() {
+fn a_second_end_of_an_attempt_is_ignored() {
     let mut dispatcher = dispatcher();
-    let id = dispatcher.submit(NOW, spec(0), "job").expect("capacity");
+    let id = dispatcher.submit(NOW, spec(0), "payload").expect("capacity");
     let served = AttemptResult { response: Some("body"), ..AttemptResult::without_response(AttemptEnd::Ok) };
     dispatcher.attempt_ended(NOW + MS, id, 0, served.clone());
     dispatcher.attempt_ended(NOW + 2 * MS, id, 0, served);
-    assert_eq!(finals(&mut dispatcher), [FinalResponse::Served("body")]);
-    assert_eq!(run(&mut dispatcher, NOW + 2_000 * MS), []);
+    assert_eq!(final_responses(&mut dispatcher), [FinalResponse::Served("body")]);
+    assert_eq!(run_timers(&mut dispatcher, NOW + 2_000 * MS), []);
 }
 
 #[test]
-fn a_disconnected_client_gets_no_answer() {
+fn a_disconnected_client_gets_no_response() {
     let mut dispatcher = dispatcher();
-    let id = dispatcher.submit(NOW, spec(0), "job").expect("capacity");
+    let id = dispatcher.submit(NOW, spec(0), "payload").expect("capacity");
     dispatcher.client_disconnected(NOW + MS, id);
     dispatcher.attempt_ended(NOW + 2 * MS, id, 0, AttemptResult::without_response(AttemptEnd::Error));
-    assert_eq!(run(&mut dispatcher, NOW + 2_000 * MS), []);
+    assert_eq!(run_timers(&mut dispatcher, NOW + 2_000 * MS), []);
     assert_eq!(dispatcher.open_requests(), 0);
 }
 
 #[test]
-fn a_full_dispatcher_takes_no_further_request() {
+fn a_request_over_the_maximum_is_not_accepted() {
     let mut dispatcher = dispatcher();
     for _ in 0..8 {
-        assert!(dispatcher.submit(NOW, spec(0), "job").is_some());
+        assert!(dispatcher.submit(NOW, spec(0), "payload").is_some());
     }
-    assert!(dispatcher.submit(NOW, spec(0), "job").is_none());
+    assert!(dispatcher.submit(NOW, spec(0), "payload").is_none());
 }
 
 #[test]
-fn a_request_that_no_backend_can_take_is_rejected_by_half_of_its_time() {
+fn a_request_without_any_backend_is_rejected_at_half_of_its_deadline() {
     let mut dispatcher = dispatcher();
-    dispatcher.submit(NOW, RequestSpec { shard: Some(99), ..spec(0) }, "job").expect("capacity");
-    // It never ran, so that trying again is harmless: a rejection, and the controller's own.
-    assert_eq!(run(&mut dispatcher, NOW + 400 * MS), []);
-    let answers = run(&mut dispatcher, NOW + 500 * MS);
-    assert!(matches!(answers[..], [FinalResponse::Rejected(wait)] if wait > 0), "{answers:?}");
+    dispatcher.submit(NOW, RequestSpec { shard: Some(99), ..spec(0) }, "payload").expect("capacity");
+    // No attempt has run, so a retry is safe. The positive delay shows that the controller has rejected the
+    // request and not the dispatcher's deadline timer.
+    assert_eq!(run_timers(&mut dispatcher, NOW + 400 * MS), []);
+    let responses = run_timers(&mut dispatcher, NOW + 500 * MS);
+    assert!(
+        matches!(responses[..], [FinalResponse::Rejected(retry_after)] if retry_after > 0),
+        "{responses:?}"
+    );
 }
 
 #[test]
-fn requests_queued_behind_a_silent_backend_are_answered_by_their_deadline() {
+fn requests_for_an_unresponsive_backend_get_final_responses_by_their_deadline() {
     let mut dispatcher = dispatcher();
     for _ in 0..8 {
-        dispatcher.submit(NOW, spec(0), "job").expect("capacity");
+        dispatcher.submit(NOW, spec(0), "payload").expect("capacity");
     }
-    assert_eq!(run(&mut dispatcher, NOW + 1_000 * MS).len(), 8);
+    assert_eq!(run_timers(&mut dispatcher, NOW + 1_000 * MS).len(), 8);
     assert_eq!(dispatcher.open_requests(), 0);
 }
 
-/// Before the program ends, requests that still come are answered in time, and the controller does not take them
-/// for retries with little time left.
+/// Requests that arrive during a graceful shutdown get their final response before it ends. They must still
+/// be sent: the controller could take them for retries with little time left if it saw the shutdown deadline.
 #[test]
-fn requests_before_the_final_deadline_are_answered_by_it() {
+fn requests_during_shutdown_are_sent_and_get_final_responses_by_the_shutdown_deadline() {
     let mut dispatcher = dispatcher();
     dispatcher.set_shutdown_deadline(NOW + 150 * MS);
     for class in [0, 1, 0, 0, 0, 0, 0] {
-        assert!(dispatcher.submit(NOW, spec(class), "job").is_some());
+        assert!(dispatcher.submit(NOW, spec(class), "payload").is_some());
     }
-    let sent =
+    let is_sent =
         |effect: &Effect<_, _>| matches!(effect, Effect::Send { deadline, .. } if *deadline < NOW + 150 * MS);
-    assert!(effects(&mut dispatcher).iter().filter(|effect| sent(effect)).count() >= 4);
-    assert_eq!(run(&mut dispatcher, NOW + 150 * MS).len(), 7);
+    assert!(take_effects(&mut dispatcher).iter().filter(|effect| is_sent(effect)).count() >= 4);
+    assert_eq!(run_timers(&mut dispatcher, NOW + 150 * MS).len(), 7);
     assert_eq!(dispatcher.open_requests(), 0);
 }
 
-/// A client that cancels its request gets the response of the attempt in flight; no other attempt begins.
+/// A client that cancels its request gets the response of the attempt in flight; no further attempt starts.
 #[test]
 fn a_cancelled_request_gets_no_further_attempt() {
-    for ending in [
+    for end in [
         AttemptEnd::Ok,
         AttemptEnd::Error,
         AttemptEnd::Rejected,
@@ -196,19 +203,19 @@
     ] {
         let mut dispatcher = dispatcher();
         let id = dispatcher.submit(NOW, spec(0), "read").expect("capacity");
-        assert!(matches!(effects(&mut dispatcher)[..], [.., Effect::Send { attempt: 0, .. }]));
+        assert!(matches!(take_effects(&mut dispatcher)[..], [.., Effect::Send { attempt: 0, .. }]));
         dispatcher.cancel(NOW + MS, id);
-        assert!(effects(&mut dispatcher).is_empty(), "its attempt is in flight");
-        let reply = (ending == AttemptEnd::Ok).then_some("served");
+        assert!(take_effects(&mut dispatcher).is_empty(), "the attempt in flight continues");
+        let response = (end == AttemptEnd::Ok).then_some("served");
         dispatcher.attempt_ended(
             NOW + 2 * MS,
             id,
             0,
-            AttemptResult { response: reply, ..AttemptResult::without_response(ending) },
+            AttemptResult { response, ..AttemptResult::without_response(end) },
         );
-        let after = effects(&mut dispatcher);
+        let after = take_effects(&mut dispatcher);
         let sent = after.iter().any(|effect| matches!(effect, Effect::Send { .. }));
-        let finals = after.iter().filter(|effect| matches!(effect, Effect::Respond { .. })).count();
-        assert!(!sent && finals == 1 && dispatcher.open_requests() == 0, "{ending:?}: {after:?}");
+        let responses = after.iter().filter(|effect| matches!(effect, Effect::Respond { .. })).count();
+        assert!(!sent && responses == 1 && dispatcher.open_requests() == 0, "{end:?}: {after:?}");
     }
 }
