--- a/crates/adapter/src/lib.rs
+++ b/crates/adapter/src/lib.rs
@@ -1,3 +1,4 @@
-//! The decisions of sedgerun on one simulator's wire: [`wire`] reads its frames and writes frames of actions.
+//! Runs sedgerun's decision module on a simulator's wire protocol: [`wire`] is the codec, and the program
+//! `sedgerun-adapter` connects it to standard input and output.
 
 pub mod wire;
--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -1,5 +1,6 @@
-//! Hosts many instances of the decision module on the simulator's wire: frames on standard input, the actions
-//! on standard output. Ends with 0 at the end of input, and with one line on standard error otherwise.
+//! Runs one or more instances of the decision module for a simulator: reads frames of events from standard
+//! input and writes frames of actions to standard output. Exits with status 0 at the end of input; on an
+//! error, prints one line to standard error and exits with status 1.
 
 use sedgerun_adapter::wire::{ActionFrame, Record, WireError, read_batch};
 use sedgerun_policy::{Action, Controller, Micros};
@@ -8,9 +9,9 @@
 use std::process::ExitCode;
 use thiserror::Error;
 
-/// Why the host ends before the end of input.
+/// Why the adapter stops before the end of input.
 #[derive(Debug, Error)]
-enum HostError {
+enum AdapterError {
     #[error(transparent)]
     Wire(#[from] WireError),
     #[error(transparent)]
@@ -27,40 +28,42 @@
     }
 }
 
-fn run(input: &mut impl Read, output: &mut impl Write) -> Result<(), HostError> {
-    let mut host = Host::default();
+fn run(input: &mut impl Read, output: &mut impl Write) -> Result<(), AdapterError> {
+    let mut instances = Instances::default();
     while let Some(body) = read_frame(input)? {
         let batch = read_batch(&body)?;
         let mut actions = ActionFrame::default();
         for (instance, record) in batch.records {
-            host.handle(batch.now, instance, record, &mut actions);
+            instances.handle_record(batch.now, instance, record, &mut actions);
         }
-        output.write_all(&actions.frame())?;
+        output.write_all(&actions.encode())?;
         output.flush()?;
     }
     Ok(())
 }
 
-/// The instances that run.
+/// The running instances of the decision module.
 #[derive(Default)]
-struct Host {
-    instances: BTreeMap<u16, Controller>,
-    /// The actions of one event; kept for its memory.
+struct Instances {
+    /// By the number of the instance on the wire.
+    controllers: BTreeMap<u16, Controller>,
+    /// The actions for one event; empty between events. Kept here to reuse its allocation.
     actions: Vec<Action>,
 }
 
-impl Host {
-    /// Passes a record to its instance. An event of an instance that does not run is dropped.
-    fn handle(&mut self, now: Micros, instance: u16, record: Record, frame: &mut ActionFrame) {
+impl Instances {
+    /// Applies a record to its instance and appends the resulting actions to the frame. An event for an
+    /// instance that is not running is dropped.
+    fn handle_record(&mut self, now: Micros, instance: u16, record: Record, frame: &mut ActionFrame) {
         match record {
             Record::Start { seed, settings } => {
-                self.instances.insert(instance, Controller::new(*settings, seed));
+                self.controllers.insert(instance, Controller::new(*settings, seed));
             }
             Record::Stop => {
-                self.instances.remove(&instance);
+                self.controllers.remove(&instance);
             }
             Record::Event(event) => {
-                if let Some(controller) = self.instances.get_mut(&instance) {
+                if let Some(controller) = self.controllers.get_mut(&instance) {
                     controller.handle(now, event, &mut self.actions);
                 }
                 self.actions.drain(..).for_each(|action| frame.push(instance, &action));
@@ -70,8 +73,8 @@
     }
 }
 
-/// The next frame's body, or `None` at the end of input.
-fn read_frame(input: &mut impl Read) -> Result<Option<Vec<u8>>, HostError> {
+/// Reads the body of the next frame; returns `None` at the end of input.
+fn read_frame(input: &mut impl Read) -> Result<Option<Vec<u8>>, AdapterError> {
     let mut length = Vec::with_capacity(4);
     input.by_ref().take(4).read_to_end(&mut length)?;
     if length.is_empty() {
--- a/crates/adapter/src/wire/action_frame.rs
+++ b/crates/adapter/src/wire/action_frame.rs
@@ -1,8 +1,9 @@
-//! Actions to the records of a frame.
+//! Encodes actions as the records of an outgoing frame.
 
+use super::field_reader::BACKEND_ID_BYTES;
 use sedgerun_policy::{Action, BackendId};
 
-/// The codes of records that go out, by the wire's names.
+/// The codes of outgoing records, under their names in the wire protocol.
 const DELIVER: u8 = 16;
 const REJECT: u8 = 17;
 const END_FAILED: u8 = 18;
@@ -11,14 +12,12 @@
 const CHECK: u8 = 21;
 const WATCH: u8 = 26;
 
-/// What a watch record says: the endpoint list is wanted.
+/// The subject of a watch record: the endpoint list.
 const WATCH_ENDPOINTS: u8 = 1;
-/// Bytes of a backend's id on the wire.
-const BACKEND_ID_BYTES: usize = 6;
-/// Bytes of a frame's length, and as many of its count of records.
+/// The size of a frame's length field, and of the record count that follows it.
 const LENGTH_BYTES: usize = 4;
 
-/// The frame in reply to a batch: the actions of its instances, in order.
+/// The response to a batch: the actions of all instances, in order.
 #[derive(Debug, Default)]
 pub struct ActionFrame {
     /// The number of records.
@@ -27,32 +26,32 @@
 }
 
 impl ActionFrame {
-    /// Adds an action of an instance.
+    /// Appends an action of an instance.
     pub fn push(&mut self, instance: u16, action: &Action) {
         match *action {
             Action::Send { id, backend, until } => self
-                .begin(DELIVER, instance)
+                .begin_record(DELIVER, instance)
                 .bytes(&id.to_le_bytes())
                 .backend_id(backend)
                 .bytes(&until.to_le_bytes()),
             Action::Reject { id, retry_after } => {
-                let wait = u32::try_from(retry_after).unwrap_or(u32::MAX);
-                self.begin(REJECT, instance).bytes(&id.to_le_bytes()).bytes(&wait.to_le_bytes())
+                let retry_after = u32::try_from(retry_after).unwrap_or(u32::MAX);
+                self.begin_record(REJECT, instance).bytes(&id.to_le_bytes()).bytes(&retry_after.to_le_bytes())
             }
-            Action::Fail { id } => self.begin(END_FAILED, instance).bytes(&id.to_le_bytes()),
+            Action::Fail { id } => self.begin_record(END_FAILED, instance).bytes(&id.to_le_bytes()),
             Action::Cancel { id, attempt } => {
-                self.begin(CALL_OFF, instance).bytes(&id.to_le_bytes()).bytes(&[attempt])
+                self.begin_record(CALL_OFF, instance).bytes(&id.to_le_bytes()).bytes(&[attempt])
             }
             Action::SetTimer { at, token } => {
-                self.begin(SET_ALARM, instance).bytes(&at.to_le_bytes()).bytes(&token.to_le_bytes())
+                self.begin_record(SET_ALARM, instance).bytes(&at.to_le_bytes()).bytes(&token.to_le_bytes())
             }
-            Action::CheckHealth { backend } => self.begin(CHECK, instance).backend_id(backend),
-            Action::Watch => self.begin(WATCH, instance).bytes(&[WATCH_ENDPOINTS]),
+            Action::CheckHealth { backend } => self.begin_record(CHECK, instance).backend_id(backend),
+            Action::Watch => self.begin_record(WATCH, instance).bytes(&[WATCH_ENDPOINTS]),
         };
     }
 
-    /// The complete frame, its length included.
-    pub fn frame(&self) -> Vec<u8> {
+    /// The encoded frame, including its length.
+    pub fn encode(&self) -> Vec<u8> {
         let length = (LENGTH_BYTES + self.records.len()) as u32;
         let mut frame = Vec::with_capacity(2 * LENGTH_BYTES + self.records.len());
         frame.extend(length.to_le_bytes());
@@ -61,8 +60,8 @@
         frame
     }
 
-    /// Begins a record.
-    fn begin(&mut self, code: u8, instance: u16) -> &mut Self {
+    /// Appends the code and the instance of a new record.
+    fn begin_record(&mut self, code: u8, instance: u16) -> &mut Self {
         self.count += 1;
         self.bytes(&[code]).bytes(&instance.to_le_bytes())
     }
--- a/crates/adapter/src/wire/batch.rs
+++ b/crates/adapter/src/wire/batch.rs
@@ -1,52 +1,36 @@
-//! Batches: a clock, and the records that happened by it.
+//! Decodes batches: the body of an incoming frame.
 
 use super::error::WireError;
 use super::field_reader::FieldReader;
-use super::record::{RecordCode, read_record};
-use sedgerun_policy::{Event, Micros, Settings};
+use super::record::{Record, RecordCode, read_record};
+use sedgerun_policy::Micros;
 
-/// A record of a batch.
-#[derive(Clone, Debug, PartialEq)]
-pub enum Record {
-    /// An instance starts.
-    Start {
-        /// Seed of its random numbers.
-        seed: u64,
-        /// Its settings.
-        settings: Box<Settings>,
-    },
-    /// An instance is killed.
-    Stop,
-    /// An event of an instance.
-    Event(Event),
-    /// A record that the decisions have no use for.
-    Ignored,
-}
-
-/// A batch: its clock and its records, each with the instance it is for.
+/// The content of one incoming frame.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Batch {
-    /// The clock.
+    /// The simulator's time.
     pub now: Micros,
-    /// The records in order.
+    /// The records in order, each with the number of the instance that it is for.
     pub records: Vec<(u16, Record)>,
 }
 
-/// Reads the body of a frame: all that follows its length.
+/// Decodes the body of a frame: everything after its length.
 ///
 /// # Errors
 ///
-/// A record is unknown, cut off or has a field that means nothing, or bytes are left over. No part of the batch counts.
+/// The header or a record is truncated, a record code or a field's value is unknown, the settings in a record
+/// are invalid, or bytes follow the last record. The whole batch is then rejected.
 pub fn read_batch(body: &[u8]) -> Result<Batch, WireError> {
     let mut fields = FieldReader::new(body, "batch header");
     let now = fields.u64()?;
     let count = fields.u32()?;
-    // Guards against a count that announces more than there is.
+    // The count is untrusted: without this bound, a wrong one could reserve gigabytes. Each record takes more
+    // than one byte.
     let mut records = Vec::with_capacity((count as usize).min(body.len()));
     for _ in 0..count {
-        fields.begin("code");
+        fields.begin_part("code");
         let code = RecordCode::try_from(fields.u8()?)?;
-        fields.begin(code.name());
+        fields.begin_part(code.name());
         let instance = fields.u16()?;
         records.push((instance, read_record(code, &mut fields)?));
     }
--- a/crates/adapter/src/wire/error.rs
+++ b/crates/adapter/src/wire/error.rs
@@ -1,10 +1,11 @@
-//! What can be wrong with the input. The texts are frozen: operators of the simulator read them.
+//! Errors in the adapter's input. The messages are part of its interface, because operators of the simulator
+//! read them; a test compares them with a recording.
 
 use sedgerun_config::Faults;
 use std::str::Utf8Error;
 use thiserror::Error;
 
-/// What is wrong with the input, in one plain line.
+/// An error in the input. The message is a single line.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum WireError {
     /// The input ends within the four bytes of a frame's length.
@@ -13,35 +14,36 @@
     /// The input ends within a frame.
     #[error("truncated frame: {received} of {expected} bytes")]
     TruncatedFrame {
-        /// The bytes that came.
+        /// The number of bytes received.
         received: usize,
-        /// The bytes that the frame's length announces.
+        /// The number of bytes that the frame's length gives.
         expected: u32,
     },
-    /// A frame ends within a record; the text names the record.
+    /// A frame ends within the named part: the batch header, a record code or a type of record.
     #[error("truncated record: {0}")]
     TruncatedRecord(&'static str),
-    /// Bytes are left behind the last record.
+    /// The value is the number of bytes after the last record of a frame.
     #[error("malformed frame: {0} bytes after the last record")]
     TrailingBytes(usize),
-    /// A record's code is none of the wire's.
+    /// The code of a record is unknown.
     #[error("unknown record code {0}")]
     UnknownRecordCode(u8),
-    /// The scope of an endpoint list is none of the wire's.
+    /// The scope of an endpoint list is unknown.
     #[error("unknown list scope {0}")]
     UnknownListScope(u8),
-    /// The readiness of an endpoint is none of the wire's.
+    /// The readiness of an endpoint is unknown.
     #[error("unknown readiness {0}")]
     UnknownReadiness(u8),
-    /// The end of an attempt is none of the wire's.
+    /// The outcome of an attempt is unknown.
     #[error("unknown outcome {0}")]
     UnknownOutcome(u8),
-    /// Settings are no text.
+    /// The settings are not UTF-8 text.
     #[error("malformed settings: not UTF-8")]
     SettingsNotUtf8(#[source] Utf8Error),
-    /// Settings are faulty. One line is what an adapter may say; the first fault is the one to mend first.
+    /// The settings are invalid. The message contains the first fault alone, because an adapter may print
+    /// only one line.
     #[error("{}", first_fault(.0))]
-    FaultySettings(#[source] Faults),
+    InvalidSettings(#[source] Faults),
 }
 
 fn first_fault(faults: &Faults) -> &str {
--- a/crates/adapter/src/wire/field_reader.rs
+++ b/crates/adapter/src/wire/field_reader.rs
@@ -1,17 +1,17 @@
-//! Reads the fields of records off the bytes of a frame.
+//! Reads the fields of records from the bytes of a frame.
 
 use super::error::WireError;
 use sedgerun_policy::BackendId;
 
-/// Bytes of a backend's id on the wire.
-const BACKEND_ID_BYTES: usize = 6;
-/// Bytes of one value of a gauge.
+/// The size of a backend id on the wire.
+pub(super) const BACKEND_ID_BYTES: usize = 6;
+/// The size of one value of a gauge.
 const GAUGE_VALUE_BYTES: usize = 4;
 
-/// What is left of a frame, and the part of it that is being read.
+/// The unread bytes of a frame, and the name of the part that is being read.
 pub(super) struct FieldReader<'a> {
     bytes: &'a [u8],
-    /// Named where the frame ends too early.
+    /// Used in the error if the frame ends within this part.
     part: &'static str,
 }
 
@@ -20,12 +20,12 @@
         FieldReader { bytes, part }
     }
 
-    /// Begins another part of the frame.
-    pub(super) fn begin(&mut self, part: &'static str) {
+    /// Sets the name of the part that the next fields belong to.
+    pub(super) fn begin_part(&mut self, part: &'static str) {
         self.part = part;
     }
 
-    /// The bytes that are left.
+    /// The number of unread bytes.
     pub(super) fn remaining(&self) -> usize {
         self.bytes.len()
     }
@@ -68,9 +68,9 @@
         Ok(BackendId(u64::from_le_bytes(id)))
     }
 
-    /// A gauge, of which the decisions have no use.
+    /// Skips a gauge, a count followed by that many values, which the decision module does not use.
     pub(super) fn skip_gauge(&mut self) -> Result<(), WireError> {
-        let values = usize::from(self.u8()?);
-        self.bytes(GAUGE_VALUE_BYTES * values).map(|_| ())
+        let count = usize::from(self.u8()?);
+        self.bytes(GAUGE_VALUE_BYTES * count).map(|_| ())
     }
 }
--- a/crates/adapter/src/wire/mod.rs
+++ b/crates/adapter/src/wire/mod.rs
@@ -1,7 +1,9 @@
-//! Codec of the simulator wire `prairie-1d57`: frames to events, actions to records. Translation only.
+//! Codec of the simulator's wire protocol `prairie-1d57`: decodes frames to events and encodes actions as
+//! records.
 //!
-//! Figures are little-endian. A frame carries a batch: the clock, and records of one or many instances of the decision
-//! module. [`read_batch`] reads one, [`ActionFrame`] gathers the actions in reply.
+//! All numbers are little-endian. An incoming frame carries a batch: the current time, and records for one or
+//! more instances of the decision module. [`read_batch`] decodes it; [`ActionFrame`] encodes the resulting
+//! actions as the response.
 
 mod action_frame;
 mod batch;
@@ -10,5 +12,6 @@
 mod record;
 
 pub use action_frame::ActionFrame;
-pub use batch::{Batch, Record, read_batch};
+pub use batch::{Batch, read_batch};
 pub use error::WireError;
+pub use record::Record;
--- a/crates/adapter/src/wire/record.rs
+++ b/crates/adapter/src/wire/record.rs
@@ -1,6 +1,6 @@
-//! The records of the wire, one function each: what of their fields the decisions have a use for.
+//! Decodes the records of a batch, with one function for each type of record. Fields that the decision module
+//! does not use are read and dropped.
 
-use super::batch::Record;
 use super::error::WireError;
 use super::field_reader::FieldReader;
 use sedgerun_config::read_settings;
@@ -8,7 +8,25 @@
     AttemptEnd, AttemptOutcome, Endpoint, Event, Readiness, Request, Settings, UpdateScope,
 };
 
-/// The codes of records that come in. The comments give the wire's names.
+/// A decoded record.
+#[derive(Clone, Debug, PartialEq)]
+pub enum Record {
+    /// The instance starts.
+    Start {
+        /// Seed of its random numbers.
+        seed: u64,
+        /// Its settings.
+        settings: Box<Settings>,
+    },
+    /// The instance is killed.
+    Stop,
+    /// An event for the instance.
+    Event(Event),
+    /// A record that the decision module does not use.
+    Ignored,
+}
+
+/// The types of incoming records. The comments give their names in the wire protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RecordCode {
     /// `new_instance`
@@ -54,7 +72,7 @@
 }
 
 impl RecordCode {
-    /// What the wire calls the record.
+    /// The name of the record type in the wire protocol.
     pub(super) fn name(self) -> &'static str {
         match self {
             RecordCode::Start => "new_instance",
@@ -71,7 +89,7 @@
     }
 }
 
-/// Reads a record behind its code and its instance.
+/// Decodes the fields of a record, which follow its code and its instance.
 pub(super) fn read_record(code: RecordCode, fields: &mut FieldReader<'_>) -> Result<Record, WireError> {
     let event = match code {
         RecordCode::Start => return read_start(fields),
@@ -97,7 +115,7 @@
 
 fn parse_settings(text: &[u8]) -> Result<Settings, WireError> {
     let text = std::str::from_utf8(text).map_err(WireError::SettingsNotUtf8)?;
-    read_settings(text).map_err(WireError::FaultySettings)
+    read_settings(text).map_err(WireError::InvalidSettings)
 }
 
 fn skip_peer_data(fields: &mut FieldReader<'_>) -> Result<Record, WireError> {
@@ -130,7 +148,7 @@
     let shard = u32::from(fields.u16()?);
     let started_at = fields.u64()?;
     let zone = fields.u16()?;
-    let _unused_figure = fields.f32()?;
+    let _unused = fields.f32()?;
     let readiness = match fields.u8()? {
         0 => Readiness::Removed,
         1 => Readiness::Ready,
@@ -151,7 +169,7 @@
     let placement = fields.f32()?;
     let volume_heads = fields.f32()?;
     let _unused = fields.u8()?;
-    // A negative placement is that of a new object.
+    // A negative placement marks a new object, which any shard may hold.
     let shard = (placement >= 0.0).then_some(placement as u32);
     Ok(Request { id, class, plan, key, deadline, volume, units, shard, volume_heads })
 }
@@ -177,9 +195,10 @@
     Ok(AttemptOutcome { id, attempt, backend, end, latency, request_ended, volume_usage, units_elsewhere })
 }
 
-/// The wire gives a volume's usage in hundredths of its plan's rate, plus one; 0: not reported.
-fn volume_usage(hundredths_and_one: u16) -> Option<f64> {
-    hundredths_and_one.checked_sub(1).map(|hundredths| f64::from(hundredths) / 100.0)
+/// Decodes a volume's usage, as a multiple of its plan's rate. The wire format is hundredths plus one; 0: not
+/// reported.
+fn volume_usage(hundredths_plus_one: u16) -> Option<f64> {
+    hundredths_plus_one.checked_sub(1).map(|hundredths| f64::from(hundredths) / 100.0)
 }
 
 fn read_health_check(fields: &mut FieldReader<'_>) -> Result<Event, WireError> {
--- a/crates/adapter/tests/frozen_wire.rs
+++ b/crates/adapter/tests/frozen_wire.rs
@@ -362,7 +362,7 @@
         frame.push(3, &action);
         let body = [&1u32.to_le_bytes(), bytes(expected).as_slice()].concat();
         let length = body.len() as u32;
-        assert_eq!(hex(&frame.frame()), hex(&[&length.to_le_bytes(), body.as_slice()].concat()));
+        assert_eq!(hex(&frame.encode()), hex(&[&length.to_le_bytes(), body.as_slice()].concat()));
     }
 }
 
--- a/crates/adapter/tests/wire.rs
+++ b/crates/adapter/tests/wire.rs
@@ -101,8 +101,11 @@
         "3f000000 04000000 10 0300 c4913a5d 0a124a07 8b13 da94810000000000 \
          14 0300 7afd870000000000 4d00000000000000 11 0300 01000000 ffffffff 1a 0300 01",
     );
-    assert_eq!(frame.frame()[4..], expected[4..]);
-    assert_eq!(frame.frame().len() - 4, u32::from_le_bytes(frame.frame()[..4].try_into().unwrap()) as usize);
+    assert_eq!(frame.encode()[4..], expected[4..]);
+    assert_eq!(
+        frame.encode().len() - 4,
+        u32::from_le_bytes(frame.encode()[..4].try_into().unwrap()) as usize
+    );
 }
 
 #[test]
