--- a/crates/adapter/tests/wire.rs
+++ b/crates/adapter/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The codec against frames made by hand, and the binary as a process.
+//! Tests the codec with hand-written frames, and the adapter program as a child process.
 
 use sedgerun_adapter::wire::{ActionFrame, Record, read_batch};
 use sedgerun_config::read_settings;
@@ -41,23 +41,23 @@
         .stderr(Stdio::piped())
         .spawn()
         .unwrap();
-    // A broken pipe means that the child refused the input; its exit code tells.
+    // The write fails if the adapter exits early on faulty input; the tests check its exit status.
     let _ = child.stdin.take().unwrap().write_all(input);
     child.wait_with_output().unwrap()
 }
 
 #[test]
-fn events_are_read_field_by_field() {
-    let demand = bytes(
+fn each_field_of_an_event_is_decoded() {
+    let request_record = bytes(
         "12 0300 c4913a5d 0000 0000 640ad2557c3bf091 da05840000000000 107cf3d901648e2b 00000040 00000000 \
          00004040 01",
     );
-    let outcome = bytes("14 0300 c4913a5d 00 0a124a07 8b13 01 44480000 01 5600 0300 00");
-    let list = bytes(
+    let outcome_record = bytes("14 0300 c4913a5d 00 0a124a07 8b13 01 44480000 01 5600 0300 00");
+    let list_record = bytes(
         "11 0300 00 2900000000000000 01000000 0a9011f2 b413 0000 0500 20145d0000000000 0100 0000c03f 02",
     );
-    let read = read_batch(&batch(&[demand, outcome, list])).unwrap();
-    assert_eq!(read.now, 5_000_000);
+    let batch = read_batch(&batch(&[request_record, outcome_record, list_record])).unwrap();
+    assert_eq!(batch.now, 5_000_000);
     let backend = BackendId(u64::from_le_bytes([0x0a, 0x12, 0x4a, 0x07, 0x8b, 0x13, 0, 0]));
     let request = Request {
         id: 0x5d3a_91c4,
@@ -70,7 +70,7 @@
         shard: Some(0),
         volume_heads: 3.0,
     };
-    assert_eq!(read.records[0], (3, Record::Event(Event::Request(request))));
+    assert_eq!(batch.records[0], (3, Record::Event(Event::Request(request))));
     let outcome = AttemptOutcome {
         id: 0x5d3a_91c4,
         attempt: 0,
@@ -81,16 +81,16 @@
         volume_usage: Some(0.85),
         units_elsewhere: 3.0,
     };
-    assert_eq!(read.records[1], (3, Record::Event(Event::AttemptEnded(outcome))));
-    let (_, Record::Event(Event::EndpointList { scope, endpoints })) = &read.records[2] else {
-        panic!("a list")
+    assert_eq!(batch.records[1], (3, Record::Event(Event::AttemptEnded(outcome))));
+    let (_, Record::Event(Event::EndpointList { scope, endpoints })) = &batch.records[2] else {
+        panic!("not an endpoint list")
     };
     assert_eq!((*scope, endpoints[0].shard, endpoints[0].zone), (UpdateScope::Cached, 5, 1));
     assert_eq!((endpoints[0].started_at, endpoints[0].readiness), (0x5d1420, Readiness::Draining));
 }
 
 #[test]
-fn actions_are_written_in_the_bytes_of_the_wire() {
+fn actions_are_encoded_as_the_wire_protocol_specifies() {
     let backend = BackendId(u64::from_le_bytes([0x0a, 0x12, 0x4a, 0x07, 0x8b, 0x13, 0, 0]));
     let mut frame = ActionFrame::default();
     frame.push(3, &Action::Send { id: 0x5d3a_91c4, backend, until: 0x8194da });
@@ -109,11 +109,11 @@
 }
 
 #[test]
-fn settings_are_read_and_errors_name_the_faulty_key() {
+fn settings_are_parsed_and_errors_name_the_invalid_key() {
     let settings = read_settings(SETTINGS).unwrap();
     assert_eq!((settings.classes[0].latency_objective, settings.plans[0].limit), (300_000, 18.0));
     assert_eq!(settings.rules, Rules::default());
-    for (from, to, named) in [
+    for (from, to, message) in [
         ("balancers=1\n", "", "balancers is missing"),
         ("balancers=1\n", "balancers=0\n", "balancers is out of range"),
         ("repeat=free", "repeat=often", "classes.0.repeat is unknown"),
@@ -122,36 +122,38 @@
         ("neverOver=18.0", "neverOver", "malformed settings line"),
     ] {
         let error = read_settings(&SETTINGS.replace(from, to)).unwrap_err();
-        assert!(error.to_string().contains(named), "{error}");
+        assert!(error.to_string().contains(message), "{error}");
     }
 }
 
 #[test]
-fn the_adapter_answers_and_ends_with_its_input() {
+fn the_adapter_responds_and_exits_at_the_end_of_its_input() {
     let list = bytes(
         "11 0300 00 0100000000000000 01000000 0a124a07 8b13 0000 0000 0000000000000000 0000 0000803f 01",
     );
-    let demand = bytes(
+    let request_record = bytes(
         "12 0300 09000000 0000 0000 0000000000000000 80969800 00000000 0700000000000000 0000803f 00000000 \
          0000803f 00",
     );
-    let input =
-        [frame(&batch(&[start(&SETTINGS.replace("neverOver", "reserve")), list])), frame(&batch(&[demand]))]
-            .concat();
+    let input = [
+        frame(&batch(&[start(&SETTINGS.replace("neverOver", "reserve")), list])),
+        frame(&batch(&[request_record])),
+    ]
+    .concat();
     let output = run_adapter(&input);
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
-    // The attempt ends when the module says, so the last field is left open.
-    let sent = bytes("10 0300 09000000 0a124a07 8b13");
-    assert!(output.stdout.windows(sent.len()).any(|window| window == sent));
+    // The last field, the attempt's deadline, is chosen by the decision module and not compared.
+    let send_record = bytes("10 0300 09000000 0a124a07 8b13");
+    assert!(output.stdout.windows(send_record.len()).any(|window| window == send_record));
     assert!(run_adapter(&[]).status.success());
 }
 
 #[test]
-fn faulty_input_ends_the_adapter_with_one_line() {
+fn the_adapter_exits_on_faulty_input_with_a_one_line_message() {
     let truncated = batch(&[vec![18, 3, 0, 1]]);
     let mut trailing = batch(&[]);
     trailing.push(0);
-    for (input, named) in [
+    for (input, message) in [
         (vec![9, 0], "truncated frame"),
         (vec![9, 0, 0, 0, 1], "truncated frame"),
         (frame(&[1, 2]), "truncated record: batch header"),
@@ -161,8 +163,8 @@
         (frame(&batch(&[start("balancers=1\n")])), "classes.count is missing"),
     ] {
         let output = run_adapter(&input);
-        let line = String::from_utf8(output.stderr).unwrap();
-        assert!(!output.status.success() && output.stdout.is_empty(), "{named}");
-        assert!(line.contains(named) && line.trim_end().lines().count() == 1, "{line}");
+        let stderr = String::from_utf8(output.stderr).unwrap();
+        assert!(!output.status.success() && output.stdout.is_empty(), "{message}");
+        assert!(stderr.contains(message) && stderr.trim_end().lines().count() == 1, "{stderr}");
     }
 }
