--- a/crates/protocol-9p/src/decode.rs
+++ b/crates/protocol-9p/src/decode.rs
@@ -1,59 +1,61 @@
-//! Bytes to messages. Every length is checked against the bytes that are there.
+//! Decodes messages. Every length field is checked against the number of bytes left.
 
 use crate::message_type as types;
 use crate::{MAX_WALK_NAMES, MalformedMessage, Message, Qid};
 use bytes::Bytes;
 
-/// The fewest bytes of a frame: its length, its type and its tag.
+/// The minimum size of a frame: its length, type and tag.
 const MIN_FRAME_BYTES: u32 = 7;
-/// Bytes of a directory entry in front of its name.
+/// The size of the fixed fields of a directory entry, which precede its name.
 const STAT_FIELDS_BYTES: usize = 41;
 
-/// The length of a frame in bytes, read from its first four, which it includes.
+/// Decodes the length of a frame from its first four bytes, which the length includes.
 ///
 /// # Errors
 ///
-/// It is shorter than any message, or longer than `msize`.
-pub fn frame_length(head: [u8; 4], msize: u32) -> Result<usize, MalformedMessage> {
-    let size = u32::from_le_bytes(head);
-    if (MIN_FRAME_BYTES..=msize).contains(&size) { Ok(size as usize) } else { Err(MalformedMessage) }
+/// The length is shorter than any message, or exceeds `msize`.
+pub fn frame_length(length_field: [u8; 4], msize: u32) -> Result<usize, MalformedMessage> {
+    let length = u32::from_le_bytes(length_field);
+    if (MIN_FRAME_BYTES..=msize).contains(&length) { Ok(length as usize) } else { Err(MalformedMessage) }
 }
 
-/// The type and the tag of a frame without its length, which even an unknown message has.
+/// Decodes the type and the tag of a frame, given without its length field. Frames of unknown types have them
+/// too.
 ///
 /// # Errors
 ///
-/// The frame is too short for them.
+/// The frame is too short.
 pub fn peek_type_and_tag(frame: &[u8]) -> Result<(u8, u16), MalformedMessage> {
     FrameReader(frame).type_and_tag()
 }
 
-/// The name in a directory entry as `Twstat` carries it; empty: left as it is.
+/// Decodes the name in the directory entry of a `Twstat`. An empty name leaves the file's name unchanged.
 ///
 /// # Errors
 ///
-/// The entry is cut off, or the name is not UTF-8.
+/// The entry is truncated, or the name is not UTF-8.
 pub fn stat_name(stat: &[u8]) -> Result<String, MalformedMessage> {
     let mut entry = FrameReader(stat);
     entry.take(STAT_FIELDS_BYTES)?;
-    entry.text()
+    entry.string()
 }
 
 impl Message {
-    /// Reads a frame without its length: the tag and the message.
+    /// Decodes a frame, given without its length field; returns its tag and its message.
     ///
     /// # Errors
     ///
-    /// The type is unknown, a field is cut off or is no text, a list is too long, or bytes are left over.
+    /// The type is unknown, a field is truncated, a string is not UTF-8, a list is too long, or bytes follow
+    /// the last field.
     pub fn decode(frame: &[u8]) -> Result<(u16, Message), MalformedMessage> {
-        let mut frame = FrameReader(frame);
-        let (message_type, tag) = frame.type_and_tag()?;
-        let message = frame.message(message_type)?;
-        if frame.0.is_empty() { Ok((tag, message)) } else { Err(MalformedMessage) }
+        let mut reader = FrameReader(frame);
+        let (message_type, tag) = reader.type_and_tag()?;
+        let message = reader.message(message_type)?;
+        if reader.0.is_empty() { Ok((tag, message)) } else { Err(MalformedMessage) }
     }
 }
 
-/// What is left of a frame.
+/// The unread bytes of a frame.
 struct FrameReader<'a>(&'a [u8]);
 
 impl<'a> FrameReader<'a> {
@@ -61,31 +63,37 @@
         Ok((self.u8()?, self.u16()?))
     }
 
-    /// The fields of a message, in the order in which they are written here.
+    /// Decodes the fields of a message. Struct expressions evaluate their fields in the order written, which
+    /// is the order in the frame.
     fn message(&mut self, message_type: u8) -> Result<Message, MalformedMessage> {
         Ok(match message_type {
-            types::TVERSION => Message::Tversion { msize: self.u32()?, version: self.text()? },
-            types::RVERSION => Message::Rversion { msize: self.u32()?, version: self.text()? },
-            types::TAUTH => Message::Tauth { afid: self.u32()?, uname: self.text()?, aname: self.text()? },
+            types::TVERSION => Message::Tversion { msize: self.u32()?, version: self.string()? },
+            types::RVERSION => Message::Rversion { msize: self.u32()?, version: self.string()? },
+            types::TAUTH => {
+                Message::Tauth { afid: self.u32()?, uname: self.string()?, aname: self.string()? }
+            }
             types::TATTACH => Message::Tattach {
                 fid: self.u32()?,
                 afid: self.u32()?,
-                uname: self.text()?,
-                aname: self.text()?,
+                uname: self.string()?,
+                aname: self.string()?,
             },
             types::RATTACH => Message::Rattach { qid: self.qid()? },
-            types::RERROR => Message::Rerror { ename: self.text()? },
+            types::RERROR => Message::Rerror { ename: self.string()? },
             types::TFLUSH => Message::Tflush { oldtag: self.u16()? },
             types::RFLUSH => Message::Rflush,
             types::TWALK => {
-                Message::Twalk { fid: self.u32()?, newfid: self.u32()?, names: self.list(Self::text)? }
+                Message::Twalk { fid: self.u32()?, newfid: self.u32()?, names: self.list(Self::string)? }
             }
             types::RWALK => Message::Rwalk { qids: self.list(Self::qid)? },
             types::TOPEN => Message::Topen { fid: self.u32()?, mode: self.u8()? },
             types::ROPEN => Message::Ropen { qid: self.qid()?, iounit: self.u32()? },
-            types::TCREATE => {
-                Message::Tcreate { fid: self.u32()?, name: self.text()?, perm: self.u32()?, mode: self.u8()? }
-            }
+            types::TCREATE => Message::Tcreate {
+                fid: self.u32()?,
+                name: self.string()?,
+                perm: self.u32()?,
+                mode: self.u8()?,
+            },
             types::RCREATE => Message::Rcreate { qid: self.qid()?, iounit: self.u32()? },
             types::TREAD => Message::Tread { fid: self.u32()?, offset: self.u64()?, count: self.u32()? },
             types::RREAD => Message::Rread { data: self.data()? },
@@ -131,7 +139,7 @@
         self.array().map(u64::from_le_bytes)
     }
 
-    fn text(&mut self) -> Result<String, MalformedMessage> {
+    fn string(&mut self) -> Result<String, MalformedMessage> {
         let length = usize::from(self.u16()?);
         std::str::from_utf8(self.take(length)?).map(str::to_owned).map_err(|_| MalformedMessage)
     }
@@ -150,7 +158,7 @@
         Ok(Qid { kind: self.u8()?, version: self.u32()?, path: self.u64()? })
     }
 
-    /// A list of names or qids, which a walk bounds.
+    /// Decodes the list of names or qids of a walk.
     fn list<T>(
         &mut self,
         item: impl Fn(&mut Self) -> Result<T, MalformedMessage>,
--- a/crates/protocol-9p/src/encode.rs
+++ b/crates/protocol-9p/src/encode.rs
@@ -1,14 +1,14 @@
-//! Messages to bytes. What a length of the protocol cannot say is cut.
+//! Encodes messages. Strings and directory entries that exceed the range of their length field are truncated.
 
 use crate::{Message, Qid};
 
-/// Bytes of a frame's length, which it includes.
+/// The size of a frame's length field. The length includes the field itself.
 const LENGTH_BYTES: usize = 4;
-/// The longest text or directory entry that the protocol can carry, in bytes.
-const MAX_TEXT_BYTES: usize = u16::MAX as usize;
+/// The maximum size in bytes of a string or directory entry: their length fields have 16 bits.
+const MAX_STRING_BYTES: usize = u16::MAX as usize;
 
 impl Message {
-    /// Writes a complete frame: its length, its type, the tag and the fields.
+    /// Encodes a complete frame: its length, type, tag and fields.
     pub fn encode(&self, tag: u16) -> Vec<u8> {
         let mut frame = FrameWriter(vec![0; LENGTH_BYTES]);
         frame.u8(self.message_type()).u16(tag);
@@ -22,20 +22,20 @@
     fn encode_fields(&self, frame: &mut FrameWriter) {
         match self {
             Message::Tversion { msize, version } | Message::Rversion { msize, version } => {
-                frame.u32(*msize).text(version)
+                frame.u32(*msize).string(version)
             }
-            Message::Tauth { afid, uname, aname } => frame.u32(*afid).text(uname).text(aname),
+            Message::Tauth { afid, uname, aname } => frame.u32(*afid).string(uname).string(aname),
             Message::Tattach { fid, afid, uname, aname } => {
-                frame.u32(*fid).u32(*afid).text(uname).text(aname)
+                frame.u32(*fid).u32(*afid).string(uname).string(aname)
             }
             Message::Rattach { qid } => frame.qid(qid),
-            Message::Rerror { ename } => frame.text(ename),
+            Message::Rerror { ename } => frame.string(ename),
             Message::Tflush { oldtag } => frame.u16(*oldtag),
             Message::Twalk { fid, newfid, names } => frame.u32(*fid).u32(*newfid).names(names),
             Message::Rwalk { qids } => frame.qids(qids),
             Message::Topen { fid, mode } => frame.u32(*fid).u8(*mode),
             Message::Ropen { qid, iounit } | Message::Rcreate { qid, iounit } => frame.qid(qid).u32(*iounit),
-            Message::Tcreate { fid, name, perm, mode } => frame.u32(*fid).text(name).u32(*perm).u8(*mode),
+            Message::Tcreate { fid, name, perm, mode } => frame.u32(*fid).string(name).u32(*perm).u8(*mode),
             Message::Tread { fid, offset, count } => frame.u32(*fid).u64(*offset).u32(*count),
             Message::Rread { data } => frame.data(data),
             Message::Twrite { fid, offset, data } => frame.u32(*fid).u64(*offset).data(data),
@@ -48,7 +48,7 @@
     }
 }
 
-/// A frame as far as it is written.
+/// A frame under construction.
 struct FrameWriter(Vec<u8>);
 
 impl FrameWriter {
@@ -72,11 +72,11 @@
         self
     }
 
-    /// A string, cut at the longest that the protocol can say, between characters.
-    fn text(&mut self, text: &str) -> &mut Self {
-        let text = &text[..text.floor_char_boundary(MAX_TEXT_BYTES)];
-        self.u16(text.len() as u16);
-        self.0.extend(text.as_bytes());
+    /// Appends a string, truncated at a character boundary if it is too long.
+    fn string(&mut self, string: &str) -> &mut Self {
+        let string = &string[..string.floor_char_boundary(MAX_STRING_BYTES)];
+        self.u16(string.len() as u16);
+        self.0.extend(string.as_bytes());
         self
     }
 
@@ -86,9 +86,9 @@
         self
     }
 
-    /// A directory entry, cut at the longest that the protocol can say.
+    /// Appends a directory entry, truncated if it is too long.
     fn stat(&mut self, stat: &[u8]) -> &mut Self {
-        let stat = &stat[..stat.len().min(MAX_TEXT_BYTES)];
+        let stat = &stat[..stat.len().min(MAX_STRING_BYTES)];
         self.u16(stat.len() as u16);
         self.0.extend(stat);
         self
@@ -101,7 +101,7 @@
     fn names(&mut self, names: &[String]) -> &mut Self {
         self.u16(names.len() as u16);
         for name in names {
-            self.text(name);
+            self.string(name);
         }
         self
     }
--- a/crates/protocol-9p/src/lib.rs
+++ b/crates/protocol-9p/src/lib.rs
@@ -1,7 +1,7 @@
-//! Codec of 9P2000: messages to bytes and back. Translation only, without I/O.
+//! Codec of the file protocol 9P2000: encodes and decodes messages. It performs no I/O.
 //!
-//! Messages and their fields have the names of the protocol's manual. What a server does with them, and in which
-//! order they may come, is decided by its users.
+//! Messages and their fields have the names of the protocol's manual. The crate does not check the order of
+//! messages or their meaning; that is left to the clients and servers that use it.
 
 mod decode;
 mod encode;
@@ -13,30 +13,30 @@
 
 use thiserror::Error;
 
-/// The version that is spoken.
+/// The protocol version, as `Tversion` and `Rversion` carry it.
 pub const VERSION: &str = "9P2000";
-/// Bytes of a message beyond the data that it carries, at the most (the protocol's IOHDRSZ).
+/// The maximum overhead in bytes of a message that carries file data (IOHDRSZ in the manual).
 pub const IO_HEADER_SIZE: u32 = 24;
-/// The largest message in bytes: 64 KiB of data and its header.
+/// The maximum size of a message in bytes: 64 KiB of data and the overhead.
 pub const MAX_MESSAGE_SIZE: u32 = 64 * 1024 + IO_HEADER_SIZE;
-/// No fid.
+/// The value of a fid field that refers to no fid (NOFID in the manual).
 pub const NO_FID: u32 = u32::MAX;
-/// The tag of a version message.
+/// The tag of a version message (NOTAG in the manual).
 pub const NO_TAG: u16 = u16::MAX;
-/// The most names in one walk.
+/// The maximum number of names in one walk (MAXWELEM in the manual).
 pub const MAX_WALK_NAMES: usize = 16;
-/// Open mode: the bits that say read, write, both or execute.
+/// Open mode: mask of the bits that select read, write, both or execute.
 pub const MODE_ACCESS_MASK: u8 = 3;
-/// Open mode: for writing.
+/// Open mode: write access.
 pub const MODE_WRITE: u8 = 1;
-/// Open mode: empty the file first.
+/// Open mode: truncate the file on open.
 pub const MODE_TRUNCATE: u8 = 0x10;
-/// Open mode: remove the file on clunk.
+/// Open mode: remove the file when its fid is clunked.
 pub const MODE_REMOVE_ON_CLOSE: u8 = 0x40;
 /// The bit of a qid's kind that marks a directory.
 pub const QID_DIRECTORY: u8 = 0x80;
 
-/// A malformed message.
+/// A frame or directory entry that does not follow the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("malformed 9P message")]
 pub struct MalformedMessage;
--- a/crates/protocol-9p/src/message.rs
+++ b/crates/protocol-9p/src/message.rs
@@ -3,18 +3,18 @@
 use crate::message_type as types;
 use bytes::Bytes;
 
-/// What a server calls a file.
+/// A server's unique identification of a file.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Qid {
-    /// Its kind, as bits.
+    /// The type of the file, as a set of bits such as [`QID_DIRECTORY`](crate::QID_DIRECTORY).
     pub kind: u8,
-    /// Its version.
+    /// The version of the file's content.
     pub version: u32,
-    /// Its number.
+    /// The number of the file, unique within the server's file hierarchy.
     pub path: u64,
 }
 
-/// A message. Requests begin with T, replies with R, as in the protocol's manual.
+/// A message. The names of requests begin with T and those of responses with R, as in the protocol's manual.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[allow(missing_docs, reason = "the fields are those of the protocol's manual")]
 pub enum Message {
@@ -47,7 +47,7 @@
 }
 
 impl Message {
-    /// The type of the message, as its frame says it.
+    /// The number of the message's type in a frame.
     pub(crate) fn message_type(&self) -> u8 {
         match self {
             Message::Tversion { .. } => types::TVERSION,
--- a/crates/protocol-9p/src/message_type.rs
+++ b/crates/protocol-9p/src/message_type.rs
@@ -1,5 +1,5 @@
-//! The numbers of the message types. 103 (Rauth) and 106 (Terror) are not spoken: there is no authentication here, and
-//! the manual forbids the other.
+//! The numbers of the message types. 103 (Rauth) is left out because authentication is not supported, and 106
+//! (Terror) because the manual forbids its use.
 
 pub(crate) const TVERSION: u8 = 100;
 pub(crate) const RVERSION: u8 = 101;
--- a/crates/protocol-9p/tests/message_frames.rs
+++ b/crates/protocol-9p/tests/message_frames.rs
@@ -1,4 +1,5 @@
-//! The bytes of each message, written out from the protocol's manual: a frame is read and written as it stands here.
+//! Compares each message's encoding with bytes written by hand from the protocol's manual, in both
+//! directions.
 
 use bytes::Bytes;
 use sedgerun_protocol_9p::*;
@@ -15,8 +16,8 @@
     Qid { kind: QID_DIRECTORY, version: 0x0a0b_0c0d, path: 0x1112_1314_1516_1718 }
 }
 
-/// Every message, and the fields of its frame: all that follows the length, the type and the tag.
-fn messages() -> Vec<(Message, u8, &'static str)> {
+/// Every message, the number of its type, and the fields of its frame in hexadecimal.
+fn message_encodings() -> Vec<(Message, u8, &'static str)> {
     let (fid, newfid, afid) = (0x2122_2324, 0x3132_3334, NO_FID);
     let text = |text: &str| text.to_owned();
     let data = || Bytes::from_static(b"data");
@@ -67,43 +68,47 @@
     ]
 }
 
-/// A frame without its length.
-fn frame(kind: u8, fields: &str) -> Vec<u8> {
-    [&[kind][..], &TAG.to_le_bytes(), &bytes_of(fields)].concat()
+/// A frame without its length field.
+fn frame(message_type: u8, fields: &str) -> Vec<u8> {
+    [&[message_type][..], &TAG.to_le_bytes(), &bytes_of(fields)].concat()
 }
 
 #[test]
-fn each_message_is_written_and_read_as_the_manual_says() {
-    for (message, kind, fields) in messages() {
-        let frame = frame(kind, fields);
-        let written = message.encode(TAG);
-        assert_eq!(written[..4], (frame.len() as u32 + 4).to_le_bytes(), "{message:?}");
-        assert_eq!(written[4..], frame, "{message:?}");
+fn each_message_is_encoded_and_decoded_as_the_manual_specifies() {
+    for (message, message_type, fields) in message_encodings() {
+        let frame = frame(message_type, fields);
+        let encoded = message.encode(TAG);
+        assert_eq!(encoded[..4], (frame.len() as u32 + 4).to_le_bytes(), "{message:?}");
+        assert_eq!(encoded[4..], frame, "{message:?}");
         assert_eq!(Message::decode(&frame), Ok((TAG, message)));
-        assert_eq!(peek_type_and_tag(&frame), Ok((kind, TAG)));
+        assert_eq!(peek_type_and_tag(&frame), Ok((message_type, TAG)));
     }
 }
 
 #[test]
-fn a_frame_that_is_cut_or_goes_on_is_malformed() {
-    for (message, kind, fields) in messages() {
-        let whole = frame(kind, fields);
-        for length in 0..whole.len() {
+fn a_truncated_frame_or_one_with_trailing_bytes_is_malformed() {
+    for (message, message_type, fields) in message_encodings() {
+        let complete = frame(message_type, fields);
+        for length in 0..complete.len() {
             assert_eq!(
-                Message::decode(&whole[..length]),
+                Message::decode(&complete[..length]),
                 Err(MalformedMessage),
-                "{message:?} cut to {length}"
+                "{message:?} truncated to {length} bytes"
             );
         }
-        let longer = [&whole[..], &[0]].concat();
-        assert_eq!(Message::decode(&longer), Err(MalformedMessage), "{message:?} and a byte");
+        let with_trailing_byte = [&complete[..], &[0]].concat();
+        assert_eq!(
+            Message::decode(&with_trailing_byte),
+            Err(MalformedMessage),
+            "{message:?} with a trailing byte"
+        );
     }
 }
 
 #[test]
-fn unknown_types_texts_that_are_not_utf_8_and_long_walks_are_malformed() {
-    for kind in (0..100).chain([103, 106]).chain(128..=255) {
-        assert_eq!(Message::decode(&frame(kind, "")), Err(MalformedMessage), "type {kind}");
+fn unknown_types_strings_that_are_not_utf_8_and_long_walks_are_malformed() {
+    for message_type in (0..100).chain([103, 106]).chain(128..=255) {
+        assert_eq!(Message::decode(&frame(message_type, "")), Err(MalformedMessage), "type {message_type}");
     }
     assert_eq!(Message::decode(&frame(107, "0100 ff")), Err(MalformedMessage));
     let names = "0000 ".repeat(MAX_WALK_NAMES);
@@ -116,24 +121,24 @@
 }
 
 #[test]
-fn a_length_is_within_the_header_and_the_agreed_size() {
-    for (size, expected) in [(0, None), (6, None), (7, Some(7)), (8192, Some(8192)), (8193, None)] {
-        assert_eq!(frame_length(u32::to_le_bytes(size), 8192).ok(), expected, "{size}");
+fn a_frame_length_is_at_least_the_header_and_at_most_the_negotiated_size() {
+    for (length, expected) in [(0, None), (6, None), (7, Some(7)), (8192, Some(8192)), (8193, None)] {
+        assert_eq!(frame_length(u32::to_le_bytes(length), 8192).ok(), expected, "{length}");
     }
 }
 
 #[test]
-fn texts_and_stats_over_the_protocols_limit_are_cut() {
-    // The cut does not go through a character of two bytes.
+fn strings_and_stats_over_the_protocols_limit_are_truncated() {
+    // A two-byte character is not split.
     let ename = format!("a{}", "é".repeat(40_000));
-    let written = Message::Rerror { ename }.encode(TAG);
-    assert_eq!(written[7..9], u16::to_le_bytes(65_535));
-    assert_eq!(written.len(), 9 + 65_535);
+    let encoded = Message::Rerror { ename }.encode(TAG);
+    assert_eq!(encoded[7..9], u16::to_le_bytes(65_535));
+    assert_eq!(encoded.len(), 9 + 65_535);
     let ename = "é".repeat(40_000);
-    let written = Message::Rerror { ename }.encode(TAG);
-    assert_eq!(written[7..9], u16::to_le_bytes(65_534));
-    let written = Message::Rstat { stat: Bytes::from(vec![1; 70_000]) }.encode(TAG);
-    assert_eq!((written[7..9].to_vec(), written.len()), (vec![0xff, 0xff], 9 + 65_535));
+    let encoded = Message::Rerror { ename }.encode(TAG);
+    assert_eq!(encoded[7..9], u16::to_le_bytes(65_534));
+    let encoded = Message::Rstat { stat: Bytes::from(vec![1; 70_000]) }.encode(TAG);
+    assert_eq!((encoded[7..9].to_vec(), encoded.len()), (vec![0xff, 0xff], 9 + 65_535));
 }
 
 #[test]
--- a/crates/vrrp/src/lib.rs
+++ b/crates/vrrp/src/lib.rs
@@ -1,87 +1,90 @@
-//! VRRP version 3 (RFC 9568): the state machine, as a function of events and time. It does no I/O and has no clock;
-//! [`packet`] is its codec. The caller owns the [`StateMachine`], feeds it events and carries its actions out.
+//! The state machine of VRRP version 3 (RFC 9568), as a function of events and time. It performs no I/O and
+//! reads no clock. [`packet`] is the packet codec. The caller owns the [`StateMachine`], passes events to it
+//! and carries out the actions that it returns.
 
 pub mod packet;
 
 use sedgerun_policy::Micros;
 use std::net::{Ipv4Addr, SocketAddr};
 
-/// A hundredth of a second in microseconds, the protocol's unit of time.
+/// A hundredth of a second in microseconds. It is the protocol's unit of time.
 pub const CENTISECOND: Micros = 10_000;
-/// The priority of the virtual addresses' owner.
+/// The priority of the router that owns the virtual addresses. It becomes active at once on startup.
 pub const OWNER_PRIORITY: u8 = 255;
 
 /// The configuration of a virtual router.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RouterConfig {
-    /// The virtual router's number.
+    /// The virtual router identifier (VRID).
     pub id: u8,
-    /// 1 to 255; the highest becomes active.
+    /// From 1 to 255; the router with the highest priority becomes active.
     pub priority: u8,
-    /// Time between advertisements, in hundredths of a second.
+    /// The time between advertisements, in hundredths of a second.
     pub interval: u16,
-    /// Whether a higher priority takes over from a lower one that is active.
+    /// Whether this router takes over from an active router with a lower priority.
     pub preempt: bool,
     /// The virtual addresses.
     pub addresses: Vec<Ipv4Addr>,
-    /// This router's own address; of two equal priorities the higher address stays active.
+    /// This router's own address. Of two active routers with equal priority, the one with the higher address
+    /// stays active.
     pub own_address: SocketAddr,
 }
 
-/// An advertisement as it was received.
+/// The content of an advertisement packet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Advertisement {
-    /// The virtual router's number.
+    /// The virtual router identifier (VRID).
     pub id: u8,
-    /// The sender's priority; 0: it stops.
+    /// The sender's priority; 0: the sender stops taking part.
     pub priority: u8,
-    /// The sender's interval, in hundredths of a second.
+    /// The time between the sender's advertisements, in hundredths of a second.
     pub interval: u16,
     /// The virtual addresses.
     pub addresses: Vec<Ipv4Addr>,
 }
 
-/// The states of the protocol.
+/// The state of a virtual router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// Not taking part.
+    /// Does not take part in the protocol.
     Initialize,
-    /// Watching the active router.
+    /// Monitors the active router and takes over when its advertisements stop.
     Backup,
-    /// Serving the virtual addresses.
+    /// Serves the virtual addresses.
     Active,
 }
 
-/// An event of a virtual router.
+/// An input of the state machine.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// It begins to take part.
+    /// The router starts to take part.
     Startup,
-    /// It stops.
+    /// The router stops taking part.
     Shutdown,
-    /// Time has passed.
+    /// Time has passed; the timer may have expired.
     Tick,
-    /// An advertisement came from another router.
+    /// An advertisement was received from another router at this address.
     Received(Advertisement, SocketAddr),
 }
 
-/// What is to be done for a virtual router.
+/// An operation that the caller must carry out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Send an advertisement of this priority to all others.
+    /// Send an advertisement with this priority to all other routers.
     Advertise(u8),
-    /// The state is a new one.
+    /// The router has entered this state.
     StateChanged(State),
 }
 
-/// A virtual router's state: what it is, and when its one timer fires.
+/// The protocol state of a virtual router, with its single timer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StateMachine {
-    /// The state.
+    /// The current state.
     pub state: State,
-    /// When the Adver_Timer of an active router or the Active_Down_Timer of a backup fires.
+    /// When the Adver_Timer of an active router or the Active_Down_Timer of a backup expires; `None` in the
+    /// initial state.
     pub timer: Option<Micros>,
-    /// The active router's interval, in hundredths of a second.
+    /// The time between the active router's advertisements, in hundredths of a second.
     active_interval: u16,
 }
 
@@ -92,7 +95,7 @@
 }
 
 impl StateMachine {
-    /// The state after an event, and what is to be done.
+    /// Processes an event; returns the next state and the actions to carry out.
     pub fn step(self, router: &RouterConfig, event: &Event, now: Micros) -> (StateMachine, Vec<Action>) {
         match self.state {
             State::Initialize => self.step_initialize(router, event, now),
@@ -119,7 +122,7 @@
     fn step_backup(self, router: &RouterConfig, event: &Event, now: Micros) -> (StateMachine, Vec<Action>) {
         match event {
             Event::Shutdown => (StateMachine::default(), vec![Action::StateChanged(State::Initialize)]),
-            Event::Tick if self.has_fired(now) => self.take_over(router, now),
+            Event::Tick if self.timer_expired(now) => self.take_over(router, now),
             Event::Received(received, _) if received.priority == 0 => {
                 (StateMachine { timer: Some(now + self.skew_time(router)), ..self }, Vec::new())
             }
@@ -136,14 +139,14 @@
             Event::Shutdown => {
                 (StateMachine::default(), vec![Action::Advertise(0), Action::StateChanged(State::Initialize)])
             }
-            Event::Tick if self.has_fired(now) => (self.into_active(router, now), vec![advertise]),
+            Event::Tick if self.timer_expired(now) => (self.into_active(router, now), vec![advertise]),
             Event::Received(received, from) => {
                 let own_rank = (router.priority, router.own_address);
                 if received.priority > 0 && (received.priority, *from) > own_rank {
                     let backup = self.into_backup(router, received.interval, now);
                     (backup, vec![Action::StateChanged(State::Backup)])
                 } else {
-                    // The sender stops, or has to learn at once that this router is active.
+                    // The sender stops, or must learn at once that this router is active.
                     (self.into_active(router, now), vec![advertise])
                 }
             }
@@ -151,12 +154,14 @@
         }
     }
 
+    /// Becomes active and announces it to the other routers.
     fn take_over(self, router: &RouterConfig, now: Micros) -> (StateMachine, Vec<Action>) {
         let actions = vec![Action::Advertise(router.priority), Action::StateChanged(State::Active)];
         (self.into_active(router, now), actions)
     }
 
-    /// A backup of an active router that advertises at this interval.
+    /// Becomes or stays a backup of an active router that advertises at this interval, and restarts the
+    /// timer.
     fn into_backup(mut self, router: &RouterConfig, active_interval: u16, now: Micros) -> StateMachine {
         self.state = State::Backup;
         self.active_interval = active_interval;
@@ -164,16 +169,17 @@
         self
     }
 
+    /// Becomes or stays active, and restarts the timer.
     fn into_active(self, router: &RouterConfig, now: Micros) -> StateMachine {
         let timer = Some(now + Micros::from(router.interval) * CENTISECOND);
         StateMachine { state: State::Active, timer, ..self }
     }
 
-    fn has_fired(&self, now: Micros) -> bool {
+    fn timer_expired(&self, now: Micros) -> bool {
         self.timer.is_some_and(|at| at <= now)
     }
 
-    /// The Skew_Time of RFC 9568, section 6.1: the higher the priority, the earlier a backup takes over.
+    /// The Skew_Time of RFC 9568, section 6.1: the higher a backup's priority, the earlier it takes over.
     fn skew_time(&self, router: &RouterConfig) -> Micros {
         (256 - Micros::from(router.priority)) * Micros::from(self.active_interval) * CENTISECOND / 256
     }
--- a/crates/vrrp/src/packet.rs
+++ b/crates/vrrp/src/packet.rs
@@ -1,20 +1,20 @@
-//! The codec of VRRP version 3 advertisements for IPv4 (RFC 9568, section 5.1).
+//! Codec of VRRP version 3 advertisement packets for IPv4 (RFC 9568, section 5.1).
 
 use super::Advertisement;
 use std::net::Ipv4Addr;
 
-/// Version 3, type 1.
+/// The first byte of a packet: version 3, type 1 (advertisement).
 const VERSION_TYPE: u8 = 0x31;
-/// Bytes of an advertisement in front of its addresses.
+/// The size of the fields that precede the addresses.
 const HEADER_BYTES: usize = 8;
-/// Bytes of one address.
+/// The size of one IPv4 address.
 const ADDRESS_BYTES: usize = 4;
-/// Where the checksum stands.
-const CHECKSUM: std::ops::Range<usize> = 6..8;
-/// The largest interval: 12 bits, in hundredths of a second.
+/// The position of the checksum.
+const CHECKSUM_RANGE: std::ops::Range<usize> = 6..8;
+/// The maximum interval between advertisements, in hundredths of a second: the field has 12 bits.
 pub const MAX_INTERVAL: u16 = 0x0fff;
 
-/// The Internet checksum of a message: 0 over one that carries its own.
+/// The Internet checksum of a packet. It is 0 for a packet that contains its correct checksum.
 fn checksum(bytes: &[u8]) -> u16 {
     let words = bytes
         .chunks(2)
@@ -26,7 +26,7 @@
     !(sum as u16)
 }
 
-/// Writes an advertisement, of the first 255 of its addresses.
+/// Encodes an advertisement. At most 255 addresses fit; further ones are left out.
 pub fn encode(advertisement: &Advertisement) -> Vec<u8> {
     let Advertisement { id, priority, interval, addresses } = advertisement;
     let count = addresses.len().min(usize::from(u8::MAX));
@@ -35,12 +35,12 @@
     bytes.extend([0, 0]);
     addresses.iter().take(count).for_each(|address| bytes.extend(address.octets()));
     let sum = checksum(&bytes);
-    bytes[CHECKSUM].copy_from_slice(&sum.to_be_bytes());
+    bytes[CHECKSUM_RANGE].copy_from_slice(&sum.to_be_bytes());
     bytes
 }
 
-/// Reads an advertisement; `None` where it is to be discarded: it is of another version or type, its length or its
-/// checksum is wrong, or its interval is 0.
+/// Decodes an advertisement; returns `None` if the packet must be discarded because its version or type is
+/// another, its length or checksum is wrong, it has no addresses, or its interval is 0.
 pub fn decode(bytes: &[u8]) -> Option<Advertisement> {
     let (header, addresses) = bytes.split_at_checked(HEADER_BYTES)?;
     let count = usize::from(header[3]);
