--- a/crates/adapter/src/wire/error.rs
+++ b/crates/adapter/src/wire/error.rs
@@ -22,7 +22,7 @@
     /// A frame ends within the named part: the batch header, a record code or a type of record.
     #[error("truncated record: {0}")]
     TruncatedRecord(&'static str),
-    /// The value is the number of bytes after the last record of a frame.
+    /// Bytes follow the last record of a frame; the value is their number.
     #[error("malformed frame: {0} bytes after the last record")]
     TrailingBytes(usize),
     /// The code of a record is unknown.
