--- a/crates/cluster/tests/error_texts.rs
+++ b/crates/cluster/tests/error_texts.rs
@@ -168,5 +168,8 @@
     }
     assert_eq!(HeadError::NoAddress.to_string(), "no address");
     assert_eq!(HeadError::Connection(failure()).to_string(), "it is broken");
-    assert_eq!(HeadError::Behind(UpstreamBehind).to_string(), "it has gone back");
+    assert_eq!(
+        HeadError::Behind(UpstreamBehind).to_string(),
+        "its version is older than one already received"
+    );
 }
--- a/crates/replication/src/election.rs
+++ b/crates/replication/src/election.rs
@@ -1,12 +1,13 @@
-//! When a voter campaigns: after it has had no heartbeat of a leader for a while, and a majority of the voters says that
-//! they have had none either (a pre-vote).
+//! When a voter starts an election: after it has received no heartbeat from a leader for the leader timeout,
+//! and a majority of the voters confirms in a pre-vote that they have received none either.
 //!
-//! The pre-vote keeps a voter that was cut off, stalled or cannot receive from ending the term of a leader that the
-//! others hear from. It guarantees nothing: votes are counted by the consensus library, and this module decides only
-//! when an election is worth starting. All waits are drawn anew each time, so that two voters that split the vote do not
-//! campaign together again.
+//! The pre-vote keeps a voter that was partitioned, stalled or cannot receive messages from deposing a leader
+//! that the other voters still receive heartbeats from. Safety does not depend on it: the consensus library
+//! counts the votes, and this module only decides when an election is worth starting. All delays are random
+//! and chosen anew each time, so that two voters that split the vote are unlikely to campaign at the same
+//! time again.
 //!
-//! [`Election`] belongs to one voter. It sends no messages; the caller carries out each [`ElectionStep`].
+//! [`Election`] belongs to one voter. It sends no messages; the caller executes each [`ElectionStep`].
 
 use crate::store::StoreId;
 use rand_chacha::ChaCha8Rng;
@@ -18,25 +19,25 @@
 /// Timeouts of elections, in milliseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct ElectionTimeouts {
-    /// Silence of the leader after which it is no longer followed.
+    /// Time without a heartbeat after which the leader is considered dead.
     pub leader_timeout_ms: Millis,
-    /// Random time added to it, at most.
+    /// Maximum random time added to the leader timeout.
     pub jitter_ms: Millis,
-    /// Time to the next attempt after a pre-vote without a majority or an election that was not won, at most; it is
-    /// random, and at least half of this.
+    /// Maximum delay before the next attempt, after a pre-vote without a majority or an election that was not
+    /// won. The delay is random and at least half of this.
     pub retry_ms: Millis,
 }
 
 /// What a voter does next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ElectionStep {
-    /// Nothing before this time, in milliseconds.
+    /// Do nothing before this time, in milliseconds.
     WaitUntil(Millis),
-    /// Ask these voters whether they hear from a leader.
+    /// Send a pre-vote request to these voters: whether they receive heartbeats from a leader.
     PreVote {
-        /// Number of the round, which the answers carry.
+        /// Number of the pre-vote round, to be passed back with each response.
         round: u64,
-        /// The voters to ask.
+        /// The voters that receive the request.
         voters: BTreeSet<StoreId>,
     },
     /// Start an election.
@@ -48,11 +49,11 @@
 struct PreVoteRound {
     number: u64,
     recipients: BTreeSet<StoreId>,
-    /// Those that answered that they hear from no leader either.
+    /// Voters that responded that they have no leader either.
     without_leader: BTreeSet<StoreId>,
 }
 
-/// Decides when one voter campaigns.
+/// Decides when one voter starts an election.
 #[derive(Debug)]
 pub struct Election {
     timeouts: ElectionTimeouts,
@@ -61,12 +62,13 @@
     next_step_at: Millis,
     pre_vote: Option<PreVoteRound>,
     rounds: u64,
-    /// A vote of this voter was not synced yet when the caller last checked.
+    /// A vote of this voter was not yet synced to disk when the caller last checked.
     has_unsynced_vote: bool,
 }
 
 impl Election {
-    /// A voter that starts at `now`; `seed` feeds all random waits.
+    /// Creates the state of a voter that starts at `now`; `seed` initializes the random numbers for all
+    /// delays.
     pub fn new(timeouts: ElectionTimeouts, seed: u64, now: Millis) -> Election {
         let mut election = Election {
             timeouts,
@@ -81,17 +83,17 @@
         election
     }
 
-    fn random_up_to(&mut self, most: Millis) -> Millis {
-        if most == 0 { 0 } else { u64::from(self.rng.next_u32()) % (most + 1) }
+    fn random_up_to(&mut self, max: Millis) -> Millis {
+        if max == 0 { 0 } else { u64::from(self.rng.next_u32()) % (max + 1) }
     }
 
-    /// The time to the next attempt, in milliseconds.
-    fn random_retry(&mut self) -> Millis {
+    /// Random delay before the next attempt, in milliseconds.
+    fn random_retry_delay(&mut self) -> Millis {
         let half = self.timeouts.retry_ms / 2;
         half + self.random_up_to(half)
     }
 
-    /// A heartbeat of a leader has arrived.
+    /// Records a heartbeat from a leader, which cancels a pre-vote in progress.
     pub fn on_heartbeat(&mut self, now: Millis) {
         self.last_heartbeat_at = self.last_heartbeat_at.max(now);
         self.next_step_at = self.last_heartbeat_at
@@ -100,35 +102,36 @@
         self.pre_vote = None;
     }
 
-    /// Whether a leader counts as alive, as answered to the pre-votes of others.
+    /// Whether this voter has a live leader; it is the response to the pre-votes of other voters.
     pub fn hears_leader(&self, now: Millis) -> bool {
         now < self.last_heartbeat_at + self.timeouts.leader_timeout_ms
     }
 
-    /// Time since the last heartbeat of a leader, in milliseconds.
+    /// Time since the last heartbeat from a leader, in milliseconds.
     pub fn time_since_heartbeat(&self, now: Millis) -> Millis {
         now.saturating_sub(self.last_heartbeat_at)
     }
 
-    /// A vote of this voter, for itself or for another, is not synced yet. A campaign now would replace it by a newer
-    /// vote before anybody has counted it, and on disks slower than [`ElectionTimeouts::retry_ms`] no election would
-    /// ever be won. The next campaign waits for the sync, and for the retry time after it.
+    /// Records that a vote of this voter, for itself or for another, is not yet synced to disk. A campaign
+    /// now would replace it by a newer vote before any voter has counted it, and on disks slower than
+    /// [`ElectionTimeouts::retry_ms`] no election would ever be won. The next campaign therefore waits for
+    /// the sync and then for a retry delay.
     pub fn on_unsynced_vote(&mut self) {
         self.has_unsynced_vote = true;
         self.pre_vote = None;
     }
 
-    /// What a voter does now, given all voters. Not to be called while a vote of this voter is unsynced
-    /// ([`Election::on_unsynced_vote`]).
+    /// The next step of voter `own`, given all voters. The caller must not call it while a vote of this voter
+    /// is unsynced ([`Election::on_unsynced_vote`]).
     pub fn step(&mut self, now: Millis, own: StoreId, voters: &BTreeSet<StoreId>) -> ElectionStep {
         if std::mem::take(&mut self.has_unsynced_vote) {
-            let retry_at = now + self.random_retry();
+            let retry_at = now + self.random_retry_delay();
             self.next_step_at = self.next_step_at.max(retry_at);
         }
         if now < self.next_step_at {
             return ElectionStep::WaitUntil(self.next_step_at);
         }
-        self.next_step_at = now + self.random_retry();
+        self.next_step_at = now + self.random_retry_delay();
         self.rounds += 1;
         let others: BTreeSet<StoreId> = voters.iter().copied().filter(|voter| *voter != own).collect();
         if others.is_empty() {
@@ -142,21 +145,22 @@
         ElectionStep::PreVote { round: self.rounds, voters: others }
     }
 
-    /// A voter has answered a pre-vote; `is_silent` says that it hears from no leader either.
+    /// Handles the response of a voter to a pre-vote; `has_no_leader` means that it has no live leader
+    /// either.
     pub fn on_pre_vote_response(
         &mut self,
         now: Millis,
         round: u64,
         from: StoreId,
-        is_silent: bool,
+        has_no_leader: bool,
     ) -> ElectionStep {
         let hears_leader = self.hears_leader(now);
         match &mut self.pre_vote {
-            // Guards against late answers: a heartbeat has arrived since, or another round has begun.
+            // A late response does not count: a heartbeat has arrived since, or another round has begun.
             Some(pre_vote)
                 if pre_vote.number == round
                     && !hears_leader
-                    && is_silent
+                    && has_no_leader
                     && pre_vote.recipients.contains(&from) =>
             {
                 pre_vote.without_leader.insert(from);
--- a/crates/replication/src/follow/avoidance.rs
+++ b/crates/replication/src/follow/avoidance.rs
@@ -1,14 +1,14 @@
-//! Relays that a follower avoids for a while, because they failed, were slow or were stale. Each further failure doubles
-//! the time.
+//! Relays that a follower avoids for a while because they failed, were slow or were stale. The time doubles
+//! with each further failure.
 
 use crate::time::Millis;
 use std::collections::BTreeMap;
 
-/// Time for which a relay is avoided after its first failure, in milliseconds; it doubles with each further one.
+/// Time for which a relay is avoided after its first failure, in milliseconds.
 const MIN_AVOIDANCE_MS: Millis = 1000;
-/// The longest such time, in milliseconds.
+/// Maximum time for which a relay is avoided, in milliseconds.
 const MAX_AVOIDANCE_MS: Millis = 30_000;
-/// Relays that are remembered, at most.
+/// Maximum number of relays that are remembered.
 const MAX_AVOIDED: usize = 128;
 
 #[derive(Clone, Copy, Debug)]
@@ -17,14 +17,14 @@
     until: Millis,
 }
 
-/// The relays that are avoided.
+/// The relays that one follower avoids.
 #[derive(Debug, Default)]
 pub(super) struct Avoidance {
     by_head: BTreeMap<String, Penalty>,
 }
 
 impl Avoidance {
-    /// A relay has failed.
+    /// Records a failure of a relay, which is avoided from now on.
     pub(super) fn add(&mut self, now: Millis, head: &str) {
         if !self.by_head.contains_key(head) && self.by_head.len() >= MAX_AVOIDED {
             self.by_head.retain(|_, penalty| now < penalty.until);
@@ -37,7 +37,7 @@
         *penalty = Penalty { failures: penalty.failures + 1, until: now + time };
     }
 
-    /// A relay has served an update that is not stale.
+    /// Forgets the failures of a relay, which has served a fresh update.
     pub(super) fn clear(&mut self, head: &str) {
         self.by_head.remove(head);
     }
--- a/crates/replication/src/follow/follower/mod.rs
+++ b/crates/replication/src/follow/follower/mod.rs
@@ -1,13 +1,14 @@
-//! One follower: which upstream it polls, when it looks for another, and what it accepts from an answer.
+//! The state machine of one follower: which upstream it polls, when it looks for another, and which updates
+//! it accepts.
 //!
-//! [`Follower`] belongs to one head. The caller asks for the [next step](Follower::next_step), carries it out, and reports
-//! the answer ([`Follower::on_response`]) or its absence ([`Follower::on_failure`]). The view is the caller's; a follower
-//! changes it only by complete transfers from an upstream that it accepts.
+//! [`Follower`] belongs to one head. The caller requests the [next step](Follower::next_step), executes it,
+//! and reports the response ([`Follower::on_response`]) or its absence ([`Follower::on_failure`]). The view
+//! is the caller's; a follower changes it only by complete transfers from an upstream that it accepts.
 //!
-//! - `poll`: the types of steps and their reasons
-//! - `step`: what to do next, probes and backoff
-//! - `response`: answers and failures, changes of upstream
-//! - `update`: the content of one update
+//! - `poll`: types of steps, purposes of polls, reasons to reject a response
+//! - `step`: the next step, probes and backoff
+//! - `response`: handling of responses and failures, changes of upstream
+//! - `update`: validating and applying one update
 
 mod poll;
 mod response;
@@ -34,30 +35,31 @@
     rng: ChaCha8Rng,
     candidates: UpstreamCandidates,
     upstream: Option<UpstreamCandidate>,
-    /// The upstream is a relay that has lost contact with the voters, and is followed nevertheless.
-    is_stale: bool,
-    /// What the poll in progress is for.
+    /// The upstream is a relay that has lost contact with the voters and is followed nevertheless.
+    is_upstream_stale: bool,
+    /// Purpose of the poll in progress.
     purpose: Option<PollPurpose>,
     probe: Option<ScheduledProbe>,
     transfer: Transfer,
     next_step_at: Millis,
     consecutive_failures: u32,
     route: Option<Route>,
-    /// When the view was last known to be the newest.
+    /// Time at which the view was last known to be the newest version; `None` before the first update.
     fresh_at: Option<Millis>,
     /// The voters, as last received from an upstream.
     pub voters: Voters,
 }
 
 impl Follower {
-    /// A follower of this name, which knows these heads from its settings; `seed` feeds all random choices.
+    /// Creates the state of the head `own`. `seeds` are the heads named in its settings; `seed` initializes
+    /// the random numbers for all choices.
     pub fn new(own: &str, seeds: Vec<Peer>, seed: u64) -> Follower {
         Follower {
             own: own.to_owned(),
             rng: ChaCha8Rng::seed_from_u64(seed),
             candidates: UpstreamCandidates::new(own, seeds),
             upstream: None,
-            is_stale: false,
+            is_upstream_stale: false,
             purpose: None,
             probe: None,
             transfer: Transfer::default(),
@@ -69,7 +71,7 @@
         }
     }
 
-    /// The same with a role and a region.
+    /// Sets its role and region.
     pub fn with_role(mut self, role: FollowerRole, region: Option<String>) -> Follower {
         self.candidates.set_role(role, region);
         self
@@ -85,7 +87,7 @@
         self.candidates.region()
     }
 
-    /// What this head has cached, for the upstream to leave out.
+    /// Digests of the parts that this head has cached, which the upstream then leaves out.
     pub fn cached_digests(&self) -> CachedDigests {
         CachedDigests {
             route: self.route.as_ref().map_or(0, digest_of),
@@ -93,7 +95,7 @@
         }
     }
 
-    /// The heads over which the state came here, this one last.
+    /// Names of the heads that passed the state on, with this head last.
     pub fn path(&self) -> Vec<String> {
         let path = self.route.iter().flat_map(|route| &route.path);
         path.chain([&self.own]).cloned().collect()
@@ -104,12 +106,12 @@
         self.route.as_ref()?.leader.clone()
     }
 
-    /// The relays, as last received; `None` before an upstream has said whether there are any.
+    /// The relays, as last received; `None` until an upstream has sent a directory.
     pub fn directory(&self) -> Option<&RelayDirectory> {
         self.candidates.directory()
     }
 
-    /// The head that is followed.
+    /// The current upstream.
     pub fn upstream(&self) -> Option<&Peer> {
         self.upstream.as_ref().map(|upstream| &upstream.peer)
     }
@@ -119,7 +121,8 @@
         self.upstream.as_ref().is_some_and(|upstream| upstream.is_relay)
     }
 
-    /// How old the view may be, in milliseconds; `None` before the first update.
+    /// Time since the view was last known to be the newest version, in milliseconds; `None` before the first
+    /// update.
     pub fn age(&self, now: Millis) -> Option<Millis> {
         self.fresh_at.map(|fresh_at| now.saturating_sub(fresh_at))
     }
--- a/crates/replication/src/follow/follower/response.rs
+++ b/crates/replication/src/follow/follower/response.rs
@@ -1,4 +1,5 @@
-//! Answers and failures of polls: whether to stay with the upstream, to move, or to look for another.
+//! Handling of responses and failures of polls: whether to stay with the upstream, to move, or to look for
+//! another.
 
 use super::Follower;
 use super::poll::{PollPurpose, ProbeReason, Rejection};
@@ -10,16 +11,16 @@
 use crate::time::Millis;
 use crate::view::View;
 
-/// A head whose relay has failed polls the next within this, in milliseconds, so that not all its followers move at
-/// once.
+/// A head whose relay has failed polls the next one after a random time below this, in milliseconds, so that
+/// not all followers of the relay move at once.
 const RELAY_FAILURE_JITTER_MS: Millis = 1000;
-/// A follower whose upstream has become stale probes a first other head within this, in milliseconds.
+/// A follower whose upstream has become stale probes the first other head within this time, in milliseconds.
 const FIRST_PROBE_JITTER_MS: Millis = 1000;
-/// The longest time that a follower waits because its upstream asks it to, in milliseconds.
+/// Maximum retry-after that a follower accepts from its upstream, in milliseconds.
 const MAX_RETRY_AFTER_MS: Millis = 5000;
 
 impl Follower {
-    /// The head that was polled did not answer in time, or refused.
+    /// Handles the failure of a poll: no response in time, or a rejected request.
     pub fn on_failure(&mut self, now: Millis) {
         match self.purpose.take() {
             Some(PollPurpose::Probe(candidate, reason)) => {
@@ -34,10 +35,10 @@
         }
     }
 
-    /// The head that was polled has answered. Returns whether the view has changed.
+    /// Handles the response to a poll. Returns whether the view has changed.
     ///
     /// # Errors
-    /// Why the head is not followed.
+    /// The follower does not follow the head that responded, for this reason.
     pub fn on_response(
         &mut self,
         now: Millis,
@@ -80,7 +81,7 @@
         result
     }
 
-    /// Accepts an update of the upstream, or of a head that is to become it.
+    /// Accepts an update from the upstream, or from a head that becomes the upstream by it.
     fn attach(
         &mut self,
         now: Millis,
@@ -96,15 +97,16 @@
         }
         let has_changed = self.accept(now, view, update)?;
         if !stays {
-            // Something newer is accepted, however old it is; then another upstream is looked for.
+            // The changes are accepted because they are newer, but the follower looks for another upstream.
             return Err(Rejection::Stale);
         }
         self.set_upstream(now, from, is_stale);
         Ok(has_changed)
     }
 
-    /// Whether a head follows a relay that has lost contact with the voters: it stays with its current one, as in a
-    /// region that is cut off all others have lost them, too, and it accepts one while it is stale itself.
+    /// Whether an ordinary head follows a relay that has lost contact with the voters. It stays with its
+    /// current relay, because in a partitioned region all other heads have lost contact as well, and it
+    /// accepts a new one while its own state is stale.
     fn stays_with_stale(&self, now: Millis, relay: &UpstreamCandidate) -> bool {
         let is_stale_itself = self.age(now).is_none_or(|own| own > MAX_UPDATE_AGE_MS);
         let is_acceptable = self.is_upstream(relay) || is_stale_itself;
@@ -115,12 +117,12 @@
         self.upstream.as_ref().is_some_and(|upstream| upstream.peer.head == candidate.peer.head)
     }
 
-    /// An update has been accepted from this upstream.
+    /// Sets the upstream, from which an update was accepted.
     fn set_upstream(&mut self, now: Millis, from: UpstreamCandidate, is_stale: bool) {
         let is_new = !self.is_upstream(&from);
-        let was_stale = self.is_stale && !is_new;
-        let has_recovered = self.is_stale && !is_stale;
-        self.is_stale = is_stale;
+        let was_stale = self.is_upstream_stale && !is_new;
+        let has_recovered = self.is_upstream_stale && !is_stale;
+        self.is_upstream_stale = is_stale;
         self.consecutive_failures = 0;
         self.candidates.end_round();
         if is_stale && !was_stale {
@@ -138,7 +140,7 @@
         }
     }
 
-    /// Moves to a head that was probed, if it is better than the upstream.
+    /// Moves to a probed head if it is better than the upstream.
     fn try_move(
         &mut self,
         now: Millis,
@@ -170,13 +172,14 @@
         self.purpose = Some(purpose);
         self.on_failure(now);
         self.candidates.add_untried(peers, &mut self.rng);
-        // Redirected to a relay, it polls that at once.
+        // If it now knows a relay, it polls that at once.
         if is_attach && self.candidates.has_available_relay(now) {
             self.next_step_at = now;
         }
     }
 
-    /// A head that is busy is alive, and serves this one later.
+    /// Handles a retry-after: the head is alive and will serve this one later, so it becomes or stays the
+    /// upstream. A probe is rescheduled.
     fn on_busy(&mut self, now: Millis, wait: Millis, purpose: PollPurpose) {
         match purpose {
             PollPurpose::Probe(_, reason) => return self.reschedule_probe(now, reason),
@@ -192,13 +195,13 @@
         }
     }
 
-    /// Abandons the upstream, or a head that was tried as one.
+    /// Abandons the upstream, or a candidate that was tried, and schedules the next attempt.
     fn abandon(&mut self, now: Millis, abandoned: Option<UpstreamCandidate>) {
         if let Some(abandoned) = &abandoned {
             self.avoid(now, abandoned);
         }
         let had_upstream = self.upstream.take().is_some();
-        (self.is_stale, self.probe) = (false, None);
+        (self.is_upstream_stale, self.probe) = (false, None);
         let has_another_relay = had_upstream && self.candidates.has_available_relay(now);
         let wait = if has_another_relay && self.role() == FollowerRole::Head {
             random_below(&mut self.rng, RELAY_FAILURE_JITTER_MS)
--- a/crates/replication/src/follow/follower/update.rs
+++ b/crates/replication/src/follow/follower/update.rs
@@ -1,4 +1,4 @@
-//! The content of one update: which parts a follower accepts, and what it rejects.
+//! Validating and applying one update.
 
 use super::Follower;
 use super::poll::{ProbeReason, Rejection};
@@ -7,11 +7,11 @@
 use crate::time::Millis;
 use crate::view::{Chunk, View};
 
-/// Heads between a voter and the last follower, at most.
+/// Maximum number of heads on the path from a voter to a follower, both included.
 const MAX_DEPTH: usize = 12;
 
 impl Follower {
-    /// Applies what an update brings. Returns whether the view has changed.
+    /// Applies an update. Returns whether the view has changed.
     pub(super) fn accept(&mut self, now: Millis, view: &mut View, update: Update) -> Result<bool, Rejection> {
         let Update { version, age, chunk, route, directory } = update;
         if let Some(route) = &route {
@@ -31,7 +31,7 @@
     }
 
     fn check_path(&self, path: &[String]) -> Result<(), Rejection> {
-        // Guards against heads that follow each other in a ring, and only repeat what they knew.
+        // Heads that follow each other in a cycle would only pass old state around.
         if path.contains(&self.own) {
             return Err(Rejection::Cycle);
         }
@@ -59,7 +59,7 @@
     }
 
     fn accept_route(&mut self, route: Route) {
-        // Voters of an older log index would send this head to those that were removed.
+        // Voters of an older log index may include heads that are no longer voters.
         if route.voters.log_index >= self.voters.log_index {
             self.voters = route.voters.clone();
         }
@@ -69,7 +69,7 @@
     pub(super) fn accept_directory(&mut self, now: Millis, directory: RelayDirectory) {
         self.candidates.set_directory(RelayDirectory::new(directory.relays().iter().cloned()));
         let Some(upstream) = self.upstream.clone() else { return };
-        if self.is_stale || self.candidates.is_first_choice(&upstream) {
+        if self.is_upstream_stale || self.candidates.is_first_choice(&upstream) {
             return;
         }
         if self.probe.is_none() {
--- a/crates/replication/src/follow/followers.rs
+++ b/crates/replication/src/follow/followers.rs
@@ -1,7 +1,7 @@
-//! The followers that a head serves: admission, and the summary of the subtree behind it.
+//! The followers that a head serves: their admission, and the summary of the head's subtree.
 //!
-//! [`Followers`] belongs to one head, voter or not. A follower is known from its polls alone, and forgotten when it no
-//! longer polls.
+//! [`Followers`] belongs to one head, voter or not. A follower is known only by its polls, and removed when
+//! it no longer polls.
 
 use super::{FOLLOWER_TIMEOUT_MS, MAX_FOLLOWERS};
 use crate::peer::{Downstream, Peer};
@@ -11,38 +11,38 @@
 use crate::time::Millis;
 use std::collections::BTreeMap;
 
-/// Followers that one head reports in its status, direct and indirect, at most.
+/// Maximum number of followers, direct and indirect, that one head reports in its status.
 const MAX_SUBTREE: usize = 512;
-/// Time between sweeps for followers that no longer poll, in milliseconds.
+/// Minimum interval between sweeps of followers that no longer poll, in milliseconds.
 const SWEEP_INTERVAL_MS: Millis = 500;
 
-/// Whether a follower is served.
+/// Whether a head serves a follower.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It is served.
+    /// The follower is served.
     Admitted,
-    /// It is to poll a relay.
+    /// The follower must poll a relay instead.
     RedirectedToRelays,
-    /// This head serves enough followers already; the follower is redirected to those.
+    /// This head serves its maximum number of followers; the follower is redirected to them.
     Full,
-    /// Another store follows this head under the same name.
+    /// This head already serves a follower with the same name but another store.
     DuplicateName,
 }
 
-/// A follower that polls.
+/// A follower that polls this head.
 #[derive(Clone, Debug)]
 pub struct PollingFollower {
     /// Its identity and version.
     pub downstream: Downstream,
     /// Its role.
     pub role: FollowerRole,
-    /// It is to be served although relays are known.
+    /// It asks to be served even if this head knows relays.
     pub bypass_relays: bool,
     /// The summary of its subtree, if it has sent one.
     pub summary: Option<SubtreeSummary>,
 }
 
-/// A follower that has polled lately.
+/// A follower that this head serves, as of its last poll.
 #[derive(Debug)]
 struct KnownFollower {
     last_poll_at: Millis,
@@ -51,13 +51,13 @@
     summary: SubtreeSummary,
 }
 
-/// The followers of this head.
+/// The followers that one head serves.
 #[derive(Debug)]
 pub struct Followers {
     by_store: BTreeMap<StoreId, KnownFollower>,
-    /// Ordinary heads that are served, at most; relays come on top.
+    /// Maximum number of ordinary heads served; relays do not count towards it.
     capacity: usize,
-    /// This head is a relay: it redirects nobody to other relays while it has capacity.
+    /// Whether this head is a relay, which redirects no follower to other relays while it has capacity.
     is_relay: bool,
     last_sweep_at: Millis,
 }
@@ -69,7 +69,8 @@
 }
 
 impl Followers {
-    /// No followers yet, of a head with a role that serves up to `capacity` ordinary heads.
+    /// Creates the empty set of followers of a head with this role, which serves up to `capacity` ordinary
+    /// heads.
     pub fn new(role: FollowerRole, capacity: usize) -> Followers {
         let is_relay = role == FollowerRole::Relay;
         Followers { by_store: BTreeMap::new(), capacity, is_relay, last_sweep_at: 0 }
@@ -80,7 +81,7 @@
         self.last_sweep_at = now;
     }
 
-    /// Whether another follower of a role can be served.
+    /// Whether this head can serve another follower with this role.
     fn has_capacity(&self, role: FollowerRole) -> bool {
         let served = self.by_store.values().filter(|known| known.role == role).count();
         let capacity = match role {
@@ -90,13 +91,14 @@
         served < capacity
     }
 
-    /// A follower polls; `relays_known` says whether this head knows live relays.
+    /// Decides whether to serve a follower that polls; `relays_known` tells whether this head knows live
+    /// relays.
     pub fn admit(&mut self, now: Millis, follower: PollingFollower, relays_known: bool) -> Admission {
         let PollingFollower { downstream, role, bypass_relays, summary } = follower;
         let is_known = self.by_store.contains_key(&downstream.store);
-        // A head that follows this one already learns of the relays by updates and moves by itself.
-        let is_for_relays = role == FollowerRole::Head && !bypass_relays && !is_known;
-        if is_for_relays && relays_known && !self.is_relay {
+        // A known follower learns of the relays by updates and moves to one by itself.
+        let should_use_relay = role == FollowerRole::Head && !bypass_relays && !is_known;
+        if should_use_relay && relays_known && !self.is_relay {
             return Admission::RedirectedToRelays;
         }
         if !is_known || now >= self.last_sweep_at + SWEEP_INTERVAL_MS {
@@ -122,24 +124,24 @@
         self.by_store.values().filter(move |known| now < known.last_poll_at + FOLLOWER_TIMEOUT_MS)
     }
 
-    /// The direct followers, which may have capacity.
+    /// The direct followers, which may have capacity for a follower that this head rejects.
     pub fn peers(&self) -> Vec<Peer> {
         self.by_store.values().map(|known| known.downstream.peer.clone()).collect()
     }
 
-    /// How many followers are served directly.
+    /// Number of direct followers.
     pub fn count(&self, now: Millis) -> usize {
         self.live(now).count()
     }
 
-    /// The followers of this head that are known by name, direct and indirect.
+    /// The followers, direct and indirect, that this head knows by name, limited in number.
     pub fn subtree(&self, now: Millis) -> Vec<Downstream> {
         let all =
             self.live(now).flat_map(|known| [&known.downstream].into_iter().chain(&known.summary.sample));
         all.take(MAX_SUBTREE).cloned().collect()
     }
 
-    /// The summary of all followers of this head, direct and indirect.
+    /// Summarizes all followers of this head, direct and indirect.
     pub fn summary(&self, now: Millis) -> SubtreeSummary {
         let (mut heads, mut lowest_version) = (0u32, u64::MAX);
         for known in self.live(now) {
@@ -153,7 +155,8 @@
         SubtreeSummary { heads, lowest_version, sample: self.sample(now) }
     }
 
-    /// Ordinary heads of the subtree, spread evenly over it. Relays do not become voters, so they are left out.
+    /// An evenly spread sample of the ordinary heads in the subtree. It serves to find candidates for voters,
+    /// which relays never become, so they are left out.
     fn sample(&self, now: Millis) -> Vec<Downstream> {
         let all: Vec<&Downstream> = self
             .live(now)
--- a/crates/replication/src/follow/legacy.rs
+++ b/crates/replication/src/follow/legacy.rs
@@ -1,5 +1,5 @@
-//! The answer to the poll of earlier versions, from before subscriptions. The order of its variants and fields is part of
-//! the wire format.
+//! The response to the poll of earlier versions of the program, which do not know subscriptions. The order of
+//! its variants and fields is part of the wire format.
 
 use crate::peer::{Peer, Voters};
 use crate::subscribe::{MAX_REDIRECT_PEERS, Redirect, Route, SubscribeResponse, Update};
@@ -7,31 +7,32 @@
 use crate::view::Chunk;
 use serde::{Deserialize, Serialize};
 
-/// An answer to a follower of an earlier version.
+/// The response to the poll of earlier versions.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LegacyUpdateResponse {
-    /// What the follower lacks, or an empty chunk if nothing has changed during its wait.
+    /// The changes that the follower lacks, or an empty chunk if nothing has changed during its poll.
     Chunk {
-        /// What it lacks.
+        /// The changes.
         chunk: Chunk,
-        /// The heads over which it came, a voter first.
+        /// Names of the heads that passed the chunk on, beginning with a voter.
         path: Vec<String>,
-        /// Milliseconds since the voter from which it came was sure to have the newest version.
+        /// Time since the voter at the beginning of the path was last sure to have the newest version, in
+        /// milliseconds.
         age: Millis,
-        /// The leader, as far as known.
+        /// The leader, if the upstream knows it.
         leader: Option<Peer>,
-        /// The voters, as far as the upstream knows.
+        /// The voters, as the upstream knows them.
         voters: Voters,
     },
-    /// The head serves as many followers as it can; these may have capacity.
+    /// The head serves its maximum number of followers, which may have capacity themselves.
     Full {
-        /// Its direct followers.
+        /// The direct followers of the head.
         redirect: Vec<Peer>,
     },
 }
 
 impl LegacyUpdateResponse {
-    /// Converts it to the answer to a subscription, with the fleet's origin as the upstream gave it.
+    /// Converts this to the response to a subscription, with the cluster's origin as the upstream sent it.
     pub fn into_subscribe_response(self, origin: Option<u64>) -> SubscribeResponse {
         match self {
             LegacyUpdateResponse::Full { redirect: mut peers } => {
--- a/crates/replication/src/follow/mod.rs
+++ b/crates/replication/src/follow/mod.rs
@@ -1,15 +1,16 @@
-//! Replication to heads without a vote: from which upstream a follower gets the state, and which followers a head
+//! Replication to heads that are not voters: which upstream a follower polls, and which followers a head
 //! serves.
 //!
-//! A follower polls one other head, its upstream, for what it lacks, and waits there for the next change. If relays are
-//! known it prefers one of its own region; otherwise followers form a tree: a head serves a limited number of followers
-//! and redirects others to these, so that no voter's work grows with the fleet. Each answer names the heads over which
-//! it came, by which a follower never follows itself, and how old it may be, by which a follower with a stale upstream
+//! A follower polls one other head, its upstream, for the changes that it lacks, and the poll waits there for
+//! the next change. If relays are known, the follower prefers one of its own region; otherwise followers form
+//! a tree: a head serves a limited number of followers and redirects others to these, so that the load of a
+//! voter does not grow with the cluster. Each update carries the path of heads that passed it on, so that a
+//! follower rejects updates that came through itself, and its age, so that a follower with a stale upstream
 //! looks for another.
 //!
-//! | type | job | owner |
+//! | type | decides | owner |
 //! |---|---|---|
-//! | [`Follower`] | which upstream to poll, and what to accept from it | a head without a vote |
+//! | [`Follower`] | which upstream to poll, and what to accept from it | a head that is not a voter |
 //! | [`Followers`] | which followers to serve | every head |
 
 mod avoidance;
@@ -27,9 +28,10 @@
 
 /// An update older than this, in milliseconds, is stale: its upstream has lost contact with the voters.
 pub const MAX_UPDATE_AGE_MS: Millis = 5000;
-/// Followers that an ordinary head, or a voter, serves directly, at most.
+/// Maximum number of followers that an ordinary head, or a voter, serves directly.
 pub const MAX_FOLLOWERS: usize = 16;
-/// A follower that has not polled for this long, in milliseconds, is forgotten.
+/// Time without a poll after which a follower is removed, in milliseconds.
 pub const FOLLOWER_TIMEOUT_MS: Millis = 5000;
-/// Time for an answer on top of the wait, in milliseconds; an upstream that takes longer is abandoned.
+/// Time for a response in addition to the poll timeout, in milliseconds. An upstream that takes longer is
+/// abandoned.
 pub const RESPONSE_TIMEOUT_MS: Millis = 1000;
--- a/crates/replication/src/follow/selection.rs
+++ b/crates/replication/src/follow/selection.rs
@@ -1,6 +1,6 @@
-//! Which heads a follower may poll, and in which order.
+//! Candidates for the upstream of a follower, and the order in which they are tried.
 //!
-//! [`UpstreamCandidates`] belongs to one follower; it chooses, and the follower decides when to poll.
+//! [`UpstreamCandidates`] belongs to one follower, which decides when to poll the chosen candidate.
 
 use super::avoidance::Avoidance;
 use crate::peer::{Peer, Voters};
@@ -9,15 +9,15 @@
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::Rng;
 
-/// Possible upstreams that a follower knows beside the relays, at most.
-const MAX_KNOWN_PEERS: usize = 64;
+/// Redirects add candidates only while fewer than this remain to be tried.
+const MAX_UNTRIED: usize = 64;
 
-/// A random number below a bound; 0 if the bound is 0.
+/// A random number below `bound`; 0 if `bound` is 0.
 pub(super) fn random_below(rng: &mut ChaCha8Rng, bound: u64) -> u64 {
     if bound == 0 { 0 } else { u64::from(rng.next_u32()) % bound }
 }
 
-/// A head that may be polled.
+/// A head that the follower may poll.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct UpstreamCandidate {
     pub(super) peer: Peer,
@@ -30,20 +30,20 @@
     }
 }
 
-/// The heads that one follower knows.
+/// The heads that one follower knows and may poll.
 #[derive(Debug)]
 pub(super) struct UpstreamCandidates {
     own: String,
     role: FollowerRole,
     region: Option<String>,
-    /// Those of the settings, which are never forgotten.
+    /// The heads named in the settings, which are always candidates.
     seeds: Vec<Peer>,
-    /// Those yet to be tried in this round; the last one is tried next.
+    /// Candidates not yet tried in this round; the last one is tried next.
     untried: Vec<UpstreamCandidate>,
-    /// The relays; `None` before an upstream has said whether there are any.
+    /// The relays; `None` until an upstream has sent a directory.
     directory: Option<RelayDirectory>,
     pub(super) avoidance: Avoidance,
-    /// Position of the next head to be probed for a fresher state.
+    /// Index, among all other heads, of the next one to be probed for a fresher state.
     next_probe_index: usize,
 }
 
@@ -95,7 +95,7 @@
         ranked.into_iter().find(|relay| !self.avoidance.contains(now, &relay.peer.head))
     }
 
-    /// The heads of the settings and the voters, as far as they are known.
+    /// The heads named in the settings, and the voters that an upstream has named.
     fn known_voters(&self, voters: &Voters) -> Vec<Peer> {
         let mut all = self.seeds.clone();
         for voter in voters.by_store.values() {
@@ -106,7 +106,7 @@
         all
     }
 
-    /// The next head to be tried by a follower without an upstream.
+    /// The next candidate for a follower that has no upstream.
     pub(super) fn next(
         &mut self,
         now: Millis,
@@ -124,8 +124,8 @@
         self.untried.pop()
     }
 
-    /// All heads that are known, each once and in a random order, so that a fleet that starts together does not poll
-    /// one voter together. A relay tries the voters first.
+    /// Lists all known heads, each once and in random order, so that not all heads of a cluster that starts
+    /// poll the same voter. A relay tries the voters before other relays.
     fn begin_round(&mut self, voters: &Voters, rng: &mut ChaCha8Rng) {
         let voters = self.known_voters(voters);
         let mut relays: Vec<UpstreamCandidate> =
@@ -142,30 +142,31 @@
         self.untried.append(&mut voters);
     }
 
-    /// Adds heads that another head has redirected to.
+    /// Adds heads from a redirect to this round, at random positions.
     pub(super) fn add_untried(&mut self, peers: Vec<Peer>, rng: &mut ChaCha8Rng) {
         for peer in peers {
             let is_known = peer.head == self.own
                 || self.untried.iter().any(|known| known.peer.head == peer.head)
                 || self.directory.as_ref().is_some_and(|directory| directory.get(&peer.head).is_some());
-            if !is_known && self.untried.len() < MAX_KNOWN_PEERS {
+            if !is_known && self.untried.len() < MAX_UNTRIED {
                 let index = random_below(rng, self.untried.len() as u64 + 1) as usize;
                 self.untried.insert(index, UpstreamCandidate { peer, is_relay: false });
             }
         }
     }
 
-    /// Ends the round: an upstream is found.
+    /// Ends the round, as an upstream was found.
     pub(super) fn end_round(&mut self) {
         self.untried.clear();
     }
 
-    /// Whether a relay could be tried now.
+    /// Whether there is a relay that is not avoided now.
     pub(super) fn has_available_relay(&self, now: Millis) -> bool {
         self.available_relay(now).is_some()
     }
 
-    /// Whether this is the kind of upstream that the follower would choose first.
+    /// Whether the follower has no better choice than this upstream: for an ordinary head the relay that it
+    /// ranks first, for a relay any head that is not a relay.
     pub(super) fn is_first_choice(&self, upstream: &UpstreamCandidate) -> bool {
         match self.role {
             FollowerRole::Head => {
@@ -176,7 +177,7 @@
         }
     }
 
-    /// A better upstream than this one, if one can be tried now.
+    /// A candidate that the follower prefers to this upstream, if one can be tried now.
     pub(super) fn better_than(
         &self,
         now: Millis,
@@ -201,7 +202,7 @@
         }
     }
 
-    /// The next of all others, for a follower whose upstream is stale.
+    /// The next head to probe for a follower whose upstream is stale: all others in turn.
     pub(super) fn next_probe(
         &mut self,
         upstream: &UpstreamCandidate,
--- a/crates/replication/src/greeting.rs
+++ b/crates/replication/src/greeting.rs
@@ -1,59 +1,62 @@
-//! The handshake of two heads on a new connection: what each says about itself, and whether the other admits it.
+//! The handshake of two heads on a new connection: each sends a [`Greeting`], and [`admit`] decides whether
+//! the connection is accepted.
 //!
-//! Whether a store is an older copy of its disk is decided by [`watermark`](crate::watermark).
+//! Stores that were rolled back to an older copy of their disk are detected by
+//! [`watermark`](crate::watermark).
 
 pub use crate::store::StoreId;
 use crate::watermark::{Incarnation, Watermark};
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// What a head says about itself.
+/// The identity that a head sends at the start of a connection.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Greeting {
-    /// The fleet's name in the settings.
+    /// The cluster's name (`fleet.name` in the settings).
     pub cluster: String,
-    /// The secret that all heads of the fleet share.
+    /// The secret that all heads of the cluster share (`fleet.secret`).
     pub secret: String,
     /// The head's name.
     pub head: String,
-    /// Its store; `None` from the command line.
+    /// Its store; `None` for a connection of the command line.
     pub store: Option<StoreId>,
     /// Its zone, if it has one.
     pub zone: Option<String>,
-    /// The address at which others reach it, as far as it knows.
+    /// The address at which it believes other heads reach it.
     pub address: String,
-    /// Its store's incarnation.
+    /// The incarnation of its store.
     pub incarnation: Incarnation,
-    /// How far its store was when this incarnation began.
+    /// The watermark of its store at the start of this incarnation.
     pub initial_watermark: Watermark,
-    /// The origin of its state: a digest of the first voters' stores ([`cluster_origin`]); `None` while it has no state.
+    /// The origin of its state, a digest of the first voters' stores ([`cluster_origin`]); `None` while it
+    /// has no state.
     pub origin: Option<u64>,
 }
 
 /// Why a head rejects a connection.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, Error)]
 pub enum HandshakeError {
-    /// The other head belongs to a fleet with another name.
-    #[error("of another fleet")]
+    /// The other head belongs to a cluster with another name.
+    #[error("of a cluster with another name")]
     OtherCluster,
-    /// It does not know the secret.
+    /// It sent another secret.
     #[error("wrong secret")]
     WrongSecret,
-    /// It has the state of another fleet, though one of the same name.
-    #[error("holds the state of another fleet of this name")]
+    /// It has the state of another cluster with the same name.
+    #[error("of another cluster with the same name")]
     OtherOrigin,
-    /// It has this head's name, and another store.
+    /// It has this head's name but another store.
     #[error("two heads have this name")]
     DuplicateName,
-    /// It has forgotten what it acknowledged: its disk is an older copy.
-    #[error("an older copy of its disk, and has forgotten what it acknowledged")]
+    /// Its disk is an older copy that lacks something that its store has acknowledged.
+    #[error("an older copy of its disk, which lacks acknowledged data")]
     RolledBack,
 }
 
-/// Whether a head admits one that says this about itself.
+/// Checks the greeting of another head before its connection is accepted.
 ///
 /// # Errors
-/// Why it rejects it.
+/// The connection must be rejected, for this reason.
 pub fn admit(own: &Greeting, theirs: &Greeting) -> Result<(), HandshakeError> {
     if !secrets_match(own.secret.as_bytes(), theirs.secret.as_bytes()) {
         return Err(HandshakeError::WrongSecret);
@@ -61,7 +64,7 @@
     if own.cluster != theirs.cluster {
         return Err(HandshakeError::OtherCluster);
     }
-    // Guards against two fleets that were each set up under one name: their logs must never mix.
+    // Two clusters may have been set up separately under one name and secret: their logs must never mix.
     if own.origin.zip(theirs.origin).is_some_and(|(own, theirs)| own != theirs) {
         return Err(HandshakeError::OtherOrigin);
     }
@@ -72,16 +75,18 @@
     Ok(())
 }
 
-/// Whether two secrets are equal, in a time that does not depend on where they differ.
+/// Compares two secrets in constant time for a given length, so that timing does not reveal where they
+/// differ.
 pub fn secrets_match(a: &[u8], b: &[u8]) -> bool {
     a.len() == b.len() && a.iter().zip(b).fold(0, |differ, (a, b)| differ | (a ^ b)) == 0
 }
 
-/// The origin of a fleet whose first voters have these stores: the same on whichever head it is computed.
+/// The origin of a cluster whose first voters have these stores. The result does not depend on their order,
+/// so every head computes the same.
 pub fn cluster_origin(stores: impl IntoIterator<Item = StoreId>) -> u64 {
     let mut stores: Vec<StoreId> = stores.into_iter().collect();
     stores.sort_unstable();
-    // FNV-1a over the sorted numbers, which are random already.
+    // FNV-1a suffices, as the store numbers are random.
     let bytes = stores.iter().flat_map(|store| store.to_le_bytes());
     bytes.fold(0xcbf2_9ce4_8422_2325, |sum, byte| (sum ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3))
 }
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -1,26 +1,26 @@
-//! Replication of tenants, exports and bans between heads: the decisions, without what carries them out.
+//! Replication of tenants, exports and bans between heads: the decision logic, without I/O.
 //!
-//! A few heads are voters, which replicate the state by Raft; all other heads are followers, which poll an upstream for
-//! updates. Each module here is a state machine or a set of data types: events and the time go in, decisions come out.
-//! The crate has no I/O, no clock, no socket and no thread, and random numbers come from a seed of the caller, so the
-//! same input always gives the same output. The `sedgerun_cluster` crate runs these decisions with a consensus library,
-//! a disk and connections.
+//! A few heads are voters, which replicate the state by Raft; all other heads are followers, which poll an
+//! upstream for updates. Each module here is a state machine or a set of data types: events and the current
+//! time go in, decisions come out. The crate has no I/O, no clock, no socket and no thread, and random
+//! numbers come from a seed that the caller supplies, so the same input always gives the same output. The
+//! `sedgerun_cluster` crate runs this logic with a consensus library, a disk and connections.
 //!
-//! | module | job |
+//! | module | content |
 //! |---|---|
-//! | [`state`] | the replicated state, and what each change does to it |
-//! | [`view`] | what heads read of the state; its transfer in resumable chunks |
-//! | [`record`] | the envelope of everything stored or sent: type, format version, checksum |
+//! | [`state`] | the replicated state machine: commands, changes and their outcomes |
+//! | [`view`] | tenants, bans and voter rules as heads read them; their transfer in resumable chunks |
+//! | [`record`] | the header of everything stored or sent: type, format version, checksum |
 //! | [`store`], [`peer`] | identities of stores and heads |
-//! | [`greeting`] | whether two heads may talk to each other |
-//! | [`watermark`] | whether a store is an older copy of its disk |
-//! | [`election`] | when a voter campaigns |
-//! | [`repair`] | which heads vote: replacement of dead voters |
+//! | [`greeting`] | the handshake on a new connection between heads |
+//! | [`watermark`] | detection of stores that were rolled back to an older copy of their disk |
+//! | [`election`] | when a voter starts an election (pre-vote and campaign) |
+//! | [`repair`] | membership changes: replacement of dead voters |
 //! | [`follow`] | which upstream a follower polls, and which followers a head serves |
-//! | [`relay`] | followers set aside to serve many others, with leases and a directory |
+//! | [`relay`] | followers dedicated to serving many others; their leases and directory |
 //! | [`subscribe`] | messages between a follower and its upstream |
-//! | [`upstream`] | what a head answers its followers |
-//! | [`transfer_permits`] | how many large transfers a head has in progress |
+//! | [`upstream`] | a head's responses to its followers |
+//! | [`transfer_permits`] | limit on the large transfers that a head has in progress |
 //! | [`digest`], [`time`] | digests of message parts; the unit of time |
 
 pub mod digest;
--- a/crates/replication/src/record.rs
+++ b/crates/replication/src/record.rs
@@ -1,23 +1,23 @@
-//! Records: the envelope of everything that goes to a disk or to another head, with a type, a format version and a
-//! checksum.
+//! Records: the format of everything that is written to disk or sent to another head, with a type, a format
+//! version and a checksum.
 //!
 //! A record is its type (1 byte), the format version (1 byte), the CRC-32 of type, version and body (4 bytes,
-//! little-endian), then the body as encoded by postcard. Neither the numbers of the types nor the order of the fields
-//! and variants of what is encoded may change: stored data and heads of other versions rely on them.
+//! little-endian), then the body as encoded by postcard. The numbers of the types and the order of the fields
+//! and variants of the encoded values must not change: stored data and heads of other versions rely on them.
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use thiserror::Error;
 
-/// Why a value cannot be encoded.
+/// Error of the serializer.
 pub use postcard::Error as EncodeError;
 
-/// The format version that this program writes. It reads no other.
+/// The format version that this program writes, and the only one that it reads.
 pub const FORMAT_VERSION: u8 = 2;
 /// Length of a record's header, in bytes.
 pub const HEADER_BYTES: usize = 6;
 
-/// What a record contains. A record of one type is never read as another.
+/// The type of a record's body. [`decode`] rejects a record of another type than the expected one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum RecordType {
@@ -25,21 +25,21 @@
     Identity = 1,
     /// A vote in an election.
     Vote = 2,
-    /// An entry of the log.
+    /// An entry of the Raft log.
     Entry = 3,
-    /// A position in the log.
+    /// A position in the Raft log.
     Position = 4,
     /// The metadata of a snapshot.
     SnapshotMetadata = 5,
     /// The state in a snapshot.
     Snapshot = 6,
-    /// The handshake on a connection between heads.
+    /// A greeting, or the response to one, in the handshake between heads.
     Greeting = 7,
-    /// A request of one head to another.
+    /// A request from one head to another.
     Call = 8,
     /// The response to a request.
     Response = 9,
-    /// Watermarks of other stores.
+    /// The watermarks that a head remembers of other stores.
     Watermarks = 10,
     /// The view of a follower.
     View = 11,
@@ -47,23 +47,23 @@
     Backup = 12,
 }
 
-/// Why a record cannot be read.
+/// Why a record cannot be decoded.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum CorruptRecord {
-    /// It is shorter than any record.
-    #[error("cut short")]
+    /// It is shorter than a record's header.
+    #[error("truncated record")]
     Truncated,
-    /// The checksum differs: it was torn or altered.
+    /// The checksum does not match: the record was written only in part, or altered.
     #[error("checksum differs")]
     Checksum,
-    /// It was written in this format version, which this program does not read.
+    /// It has this format version, which this program does not read.
     #[error("format {0}; this program reads {supported}", supported = FORMAT_VERSION)]
     Format(u8),
-    /// It is of this type, and not of the expected one.
-    #[error("a record of kind {0} stands here")]
+    /// It has this type, which is not the expected one.
+    #[error("unexpected record type {0}")]
     RecordType(u8),
-    /// The body is malformed although the checksum matches.
-    #[error("malformed body")]
+    /// The checksum matches, but the body does not decode to the expected value.
+    #[error("malformed record body")]
     Body,
 }
 
@@ -77,7 +77,7 @@
 /// Encodes a value as a record.
 ///
 /// # Errors
-/// The serializer's.
+/// The serializer rejects the value.
 pub fn encode<T: Serialize>(record_type: RecordType, value: &T) -> Result<Vec<u8>, EncodeError> {
     let mut record = postcard::to_extend(value, vec![0; HEADER_BYTES])?;
     let sum = checksum(record_type as u8, FORMAT_VERSION, &record[HEADER_BYTES..]);
@@ -86,10 +86,10 @@
     Ok(record)
 }
 
-/// Decodes a record of a type.
+/// Decodes a record of the given type.
 ///
 /// # Errors
-/// What is wrong with the record.
+/// The record is corrupt, or of another type or format version.
 pub fn decode<T: DeserializeOwned>(record_type: RecordType, record: &[u8]) -> Result<T, CorruptRecord> {
     let &[found, format, a, b, c, d, ref body @ ..] = record else { return Err(CorruptRecord::Truncated) };
     if checksum(found, format, body) != u32::from_le_bytes([a, b, c, d]) {
@@ -101,7 +101,7 @@
     if found != record_type as u8 {
         return Err(CorruptRecord::RecordType(found));
     }
-    // Guards against a record read as another Rust type whose encoding begins alike.
+    // Remaining bytes mean that the body was encoded from another Rust type whose encoding begins alike.
     match postcard::take_from_bytes(body) {
         Ok((value, [])) => Ok(value),
         _ => Err(CorruptRecord::Body),
--- a/crates/replication/src/relay.rs
+++ b/crates/replication/src/relay.rs
@@ -1,9 +1,10 @@
-//! Relays: followers set aside to serve many others, and the directory by which heads find them.
+//! Relays: followers dedicated to serving many other followers, and the directory through which heads find
+//! them.
 //!
-//! Each relay registers with every voter and renews its lease every [`REGISTRATION_INTERVAL_MS`]; a lease that is not
-//! renewed expires after [`LEASE_MS`]. The voters' directory of live relays is replicated down the tree with the
-//! updates, and each head ranks the relays for itself: those of its own region first, spread by rendezvous hashing over
-//! the names.
+//! Each relay registers with every voter and renews its lease every [`REGISTRATION_INTERVAL_MS`]; a lease
+//! that is not renewed expires after [`LEASE_MS`]. Updates carry the voters' directory of live relays to all
+//! followers. Each head ranks the relays for itself: those of its own region first, and within a region by
+//! rendezvous hashing of the names.
 //!
 //! A [`RelayRegistry`] belongs to one voter and is not replicated: each voter grants its own leases.
 
@@ -17,13 +18,14 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 use thiserror::Error;
 
-/// Between two registrations of a relay with a voter, in milliseconds.
+/// Interval at which a relay registers with each voter, in milliseconds.
 pub const REGISTRATION_INTERVAL_MS: Millis = 2000;
-/// A registration is valid for this long, in milliseconds: two renewals may fail.
+/// Duration of a lease, in milliseconds: two renewals may fail before it expires.
 pub const LEASE_MS: Millis = 3 * REGISTRATION_INTERVAL_MS;
-/// Relays in a directory, at most.
+/// Maximum number of relays in a directory.
 pub const MAX_RELAYS: usize = 64;
-/// Followers that one relay serves directly, at most, if its file descriptors allow it.
+/// Maximum number of followers that one relay serves directly, if its limit on file descriptors allows as
+/// many.
 pub const RELAY_CAPACITY: usize = 1024;
 
 /// The role of a follower in the distribution of updates.
@@ -32,11 +34,11 @@
     /// An ordinary head, which serves clients.
     #[default]
     Head,
-    /// A head set aside to serve other followers.
+    /// A head dedicated to serving other followers.
     Relay,
 }
 
-/// A relay as the directory lists it.
+/// A relay, as listed in the directory.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Relay {
     /// Its name and address.
@@ -47,18 +49,18 @@
     pub zone: Option<String>,
     /// Its store.
     pub store: StoreId,
-    /// Its incarnation.
+    /// Number of starts of its store.
     pub incarnation: u64,
 }
 
-/// The live relays, in the order of their names.
+/// The live relays, sorted by name.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RelayDirectory {
     relays: Vec<Relay>,
 }
 
 impl RelayDirectory {
-    /// A directory of these relays, each name once; those past [`MAX_RELAYS`] are left out.
+    /// Creates a directory of these relays. Each name is listed once, and at most [`MAX_RELAYS`] are.
     pub fn new(relays: impl IntoIterator<Item = Relay>) -> RelayDirectory {
         let mut relays: Vec<Relay> = relays.into_iter().collect();
         relays.sort_by(|a, b| a.peer.head.cmp(&b.peer.head));
@@ -72,7 +74,7 @@
         &self.relays
     }
 
-    /// Whether no relay is known.
+    /// Whether there are no relays.
     pub fn is_empty(&self) -> bool {
         self.relays.is_empty()
     }
@@ -82,38 +84,39 @@
         self.relays.iter().find(|relay| relay.peer.head == head)
     }
 
-    /// Digest by which two heads find out whether they have the same directory.
+    /// Digest by which an upstream recognizes that its follower has the same directory.
     pub fn digest(&self) -> u32 {
         digest_of(&self.relays)
     }
 
-    /// The relays in the order in which a head prefers them: those of its own region first, and within a region by
-    /// rendezvous hashing, so that each head has an order of its own and the followers of a failed relay spread over the rest.
+    /// The relays in the order in which a head prefers them: those of its own region first, and within a
+    /// region by rendezvous hashing. Each head thus has an order of its own, and the followers of a failed
+    /// relay spread over the remaining ones.
     pub fn ranked(&self, head: &str, region: Option<&str>) -> Vec<&Relay> {
         let mut ranked: Vec<&Relay> = self.relays.iter().filter(|relay| relay.peer.head != head).collect();
         ranked.sort_by_cached_key(|relay| {
-            let is_elsewhere = relay.region.as_deref() != region;
-            (is_elsewhere, Reverse(rendezvous_weight(head, &relay.peer.head)))
+            let is_other_region = relay.region.as_deref() != region;
+            (is_other_region, Reverse(rendezvous_weight(head, &relay.peer.head)))
         });
         ranked
     }
 }
 
-/// Weight of a relay for a head. Only the head itself compares its weights, so they need not be the same in another
-/// version of the program.
+/// Rendezvous weight of a relay for a head. Only that head compares its weights, so they may differ between
+/// versions of the program.
 fn rendezvous_weight(head: &str, relay: &str) -> u64 {
     let mut hasher = DefaultHasher::new();
     (head, relay).hash(&mut hasher);
     hasher.finish()
 }
 
-/// Why a relay is not registered.
+/// Why a registration is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum RegistrationError {
     /// Another store has a live lease under this name.
     #[error("two heads have this name")]
     DuplicateName,
-    /// [`MAX_RELAYS`] others have live leases.
+    /// [`MAX_RELAYS`] other relays have live leases.
     #[error("the fleet has as many relays as it can hold")]
     DirectoryFull,
 }
@@ -123,7 +126,7 @@
 pub struct RelayStatus {
     /// The relay.
     pub relay: Relay,
-    /// Followers that it serves directly, as last reported.
+    /// Number of followers that it serves directly, as last reported.
     pub followers: u32,
 }
 
@@ -137,12 +140,12 @@
 #[derive(Debug, Default)]
 pub struct RelayRegistry {
     by_name: BTreeMap<String, Lease>,
-    /// Since when this head has been a voter without interruption; `None` while it is none.
+    /// Time since which this head has been a voter without interruption; `None` while it is not a voter.
     voting_since: Option<Millis>,
 }
 
 impl RelayRegistry {
-    /// Sets whether this head votes now; when it stops voting, all leases end.
+    /// Sets whether this head is a voter now. When it stops being one, all leases end.
     pub fn set_voting(&mut self, now: Millis, votes: bool) {
         match (votes, self.voting_since) {
             (true, None) => self.voting_since = Some(now),
@@ -154,7 +157,7 @@
     /// Grants or renews a lease.
     ///
     /// # Errors
-    /// The name is in use by another store, or there are too many relays.
+    /// Another store uses the name, or there are too many relays.
     pub fn register(&mut self, now: Millis, status: RelayStatus) -> Result<(), RegistrationError> {
         self.by_name.retain(|_, lease| now < lease.expires_at);
         let relay = &status.relay;
@@ -175,8 +178,8 @@
         live.map(|lease| lease.status.clone()).collect()
     }
 
-    /// The directory, or `None` while it may be incomplete: a voter that has just started does not know all live
-    /// relays yet, and an empty directory would send their followers away.
+    /// The directory, or `None` while it may be incomplete: a new voter does not know all live relays until
+    /// each has renewed its lease, and followers would leave the relays that an incomplete directory omits.
     pub fn directory(&self, now: Millis) -> Option<RelayDirectory> {
         let is_complete = self.voting_since.is_some_and(|since| now >= since + LEASE_MS);
         is_complete.then(|| RelayDirectory::new(self.relays(now).into_iter().map(|status| status.relay)))
--- a/crates/replication/src/repair.rs
+++ b/crates/replication/src/repair.rs
@@ -1,27 +1,29 @@
-//! Repair of the voter group: when a voter counts as dead, and which head replaces it. One change at a time, and none
-//! that loses a majority.
+//! Repair of the voter group: when a voter is declared dead, and which head replaces it. Membership changes
+//! are made one at a time, and each keeps a reachable majority.
 //!
-//! The leader calls [`next_step`] with what it knows. Each change of voters is itself committed by the voters before and
-//! after it, so a wrong guess here costs time and never a committed entry; what must not happen is that a change leaves
-//! the group without a reachable majority.
+//! The leader calls [`next_step`] with its knowledge of the group. Each membership change is committed by a
+//! majority of the voters before it and of those after it, so a wrong decision here costs time but never a
+//! committed entry. A change must not leave the group without a reachable majority.
 
 use crate::store::StoreId;
 use crate::view::VoterRules;
 use std::cmp::Reverse;
 
-/// Silence after which a voter counts as unreachable, in milliseconds: no change relies on it.
+/// Time without a response after which a member is unreachable, in milliseconds. Membership changes do not
+/// count on unreachable members.
 pub const UNREACHABLE_AFTER_MS: u64 = 1500;
-/// Silence after which a voter is declared dead, in milliseconds, unless the rules say otherwise.
+/// Time without a response after which a voter is declared dead, in milliseconds, unless the voter rules set
+/// another.
 pub const DEFAULT_DEAD_AFTER_MS: u64 = 30_000;
-/// Silence after which a learner is dropped, in milliseconds.
+/// Time without a response after which a learner is removed, in milliseconds.
 const LEARNER_TIMEOUT_MS: u64 = {
     let tenth = DEFAULT_DEAD_AFTER_MS / 10;
     if tenth > UNREACHABLE_AFTER_MS { tenth } else { UNREACHABLE_AFTER_MS }
 };
-/// A learner that lacks no more log entries than this is promoted to a voter.
+/// Maximum number of log entries that a learner may lack when it becomes a voter.
 const MAX_LEARNER_LAG: u64 = 64;
 
-/// A voter or learner of the consensus group, as the leader knows it.
+/// A voter or learner of the Raft group, as the leader knows it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GroupMember {
     /// Its store.
@@ -30,11 +32,11 @@
     pub head: String,
     /// Its zone, if it has one.
     pub zone: Option<String>,
-    /// It votes; otherwise it is a learner, which only receives the log.
+    /// Whether it is a voter; otherwise it is a learner, which only receives the log.
     pub votes: bool,
-    /// Time since its last answer, in milliseconds; 0 for the leader itself.
+    /// Time since its last response, in milliseconds; 0 for the leader itself.
     pub ms_since_response: u64,
-    /// Log entries that it lacks; `None` if that is not known.
+    /// Number of log entries that it lacks; `None` if unknown.
     pub lag: Option<u64>,
 }
 
@@ -54,9 +56,9 @@
 /// One membership change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RepairStep {
-    /// Add this head as a learner; it does not vote yet.
+    /// Add this head as a learner, which does not vote yet.
     AddLearner(VoterCandidate),
-    /// Replace the first store by the second as a voter.
+    /// Remove the first store from the voters and make the second, a learner, a voter.
     Replace(StoreId, StoreId),
     /// Make this learner a voter.
     Promote(StoreId),
@@ -64,34 +66,34 @@
     Remove(StoreId),
 }
 
-/// Why a voter has to leave, the most urgent reason first.
+/// Why a voter must be removed, the most urgent reason first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum DepartureReason {
-    /// Its head runs with another store: the disk that it had is gone.
+enum RemovalReason {
+    /// Its head has started with a new store, so the disk with this one was lost.
     Wiped,
-    /// It has been silent for too long.
+    /// It has not responded for the time after which a voter is declared dead.
     Dead,
     /// Operators have declared its store dead.
     DeclaredDead,
-    /// Operators do not let its head vote.
+    /// Operators have barred its head from voting.
     Barred,
 }
 
-/// How many of `voters` voters are a majority.
+/// Size of a majority of `voters` voters.
 pub fn majority(voters: usize) -> usize {
     voters / 2 + 1
 }
 
-/// Whether there may be something to do, so that it is worth collecting candidates.
+/// Whether the group may need a membership change, so that collecting candidates is worthwhile.
 pub fn may_need_repair(rules: &VoterRules, members: &[GroupMember]) -> bool {
     let voters = members.iter().filter(|member| member.votes).count();
     let needs_attention = |member: &GroupMember| {
-        !member.votes || !is_reachable(member) || departure_reason(member, rules, members, &[]).is_some()
+        !member.votes || !is_reachable(member) || removal_reason(member, rules, members, &[]).is_some()
     };
     voters != target_size(rules, voters) || members.iter().any(needs_attention)
 }
 
-/// The next membership change; `None` if there is nothing to do, or nothing can be done now.
+/// The next membership change; `None` if none is needed or none is possible now.
 pub fn next_step(
     rules: &VoterRules,
     members: &[GroupMember],
@@ -99,7 +101,7 @@
     leader: StoreId,
 ) -> Option<RepairStep> {
     let group = VoterGroup::new(rules, members, candidates, leader);
-    // Guards against a change that cannot be committed: it would block the next one.
+    // Without a reachable majority a change cannot be committed, and would block the next one.
     if group.reachable < majority(group.voters.len()) {
         return None;
     }
@@ -109,7 +111,7 @@
     if group.voters.len() > group.target {
         return group.remove_surplus_voter();
     }
-    if group.leaving.is_empty() && group.voters.len() >= group.target {
+    if group.to_remove.is_empty() && group.voters.len() >= group.target {
         return None;
     }
     group.best_candidate().map(|candidate| RepairStep::AddLearner(candidate.clone()))
@@ -119,48 +121,48 @@
     member.ms_since_response < UNREACHABLE_AFTER_MS
 }
 
-/// How many heads are to vote: as the rules say, or as many as there are.
+/// Number of voters wanted: as the rules set it, or else the current number.
 fn target_size(rules: &VoterRules, voters: usize) -> usize {
     if rules.voters == 0 { voters } else { usize::from(rules.voters) }
 }
 
-/// Why a voter has to leave; `None` for one that stays.
-fn departure_reason(
+/// Why a voter must be removed; `None` if it stays.
+fn removal_reason(
     member: &GroupMember,
     rules: &VoterRules,
     members: &[GroupMember],
     candidates: &[VoterCandidate],
-) -> Option<DepartureReason> {
+) -> Option<RemovalReason> {
     let dead_after_ms = if rules.dead_after_ms == 0 { DEFAULT_DEAD_AFTER_MS } else { rules.dead_after_ms };
     let is_same_head = |head: &str, store: StoreId| head == member.head && store != member.store;
     let has_another_store = candidates.iter().any(|other| is_same_head(&other.head, other.store))
         || members.iter().any(|other| !other.votes && is_same_head(&other.head, other.store));
     if !is_reachable(member) && has_another_store {
-        Some(DepartureReason::Wiped)
+        Some(RemovalReason::Wiped)
     } else if member.ms_since_response >= dead_after_ms {
-        Some(DepartureReason::Dead)
+        Some(RemovalReason::Dead)
     } else if rules.declared_dead.contains(&member.store) {
-        Some(DepartureReason::DeclaredDead)
+        Some(RemovalReason::DeclaredDead)
     } else if rules.barred_heads.contains(&member.head) {
-        Some(DepartureReason::Barred)
+        Some(RemovalReason::Barred)
     } else {
         None
     }
 }
 
-/// The group as the leader sees it for one decision.
+/// The group as the leader knows it at one decision.
 struct VoterGroup<'a> {
     rules: &'a VoterRules,
     members: &'a [GroupMember],
     candidates: &'a [VoterCandidate],
     leader: StoreId,
     voters: Vec<&'a GroupMember>,
-    /// Voters that can be reached.
+    /// Number of reachable voters.
     reachable: usize,
-    /// How many heads are to vote.
+    /// Number of voters wanted.
     target: usize,
-    /// Voters that have to leave, the most urgent first and the leader last.
-    leaving: Vec<&'a GroupMember>,
+    /// Voters that must be removed, the most urgent reason first, and the leader last for each reason.
+    to_remove: Vec<&'a GroupMember>,
 }
 
 impl<'a> VoterGroup<'a> {
@@ -173,20 +175,21 @@
         let voters: Vec<&GroupMember> = members.iter().filter(|member| member.votes).collect();
         let reachable = voters.iter().filter(|voter| is_reachable(voter)).count();
         let reasons = voters.iter().filter_map(|voter| {
-            let reason = departure_reason(voter, rules, members, candidates)?;
+            let reason = removal_reason(voter, rules, members, candidates)?;
             Some((reason, *voter))
         });
-        let mut leaving: Vec<(DepartureReason, &GroupMember)> = reasons.collect();
-        // The leader last: its departure costs an election.
-        leaving.sort_by_key(|(reason, voter)| (*reason, voter.store == leader, voter.store));
-        let leaving = leaving.into_iter().map(|(_, voter)| voter).collect();
+        let mut to_remove: Vec<(RemovalReason, &GroupMember)> = reasons.collect();
+        // The leader comes last, as its removal costs an election.
+        to_remove.sort_by_key(|(reason, voter)| (*reason, voter.store == leader, voter.store));
+        let to_remove = to_remove.into_iter().map(|(_, voter)| voter).collect();
         let target = target_size(rules, voters.len());
-        VoterGroup { rules, members, candidates, leader, voters, reachable, target, leaving }
+        VoterGroup { rules, members, candidates, leader, voters, reachable, target, to_remove }
     }
 
-    /// What becomes of a learner: promoted once it is up to date, removed once it is not needed or not usable.
+    /// The next change while there is a learner: it is promoted once it has caught up, and removed if it is
+    /// not needed or may not vote.
     fn step_with_learner(&self, learner: &GroupMember) -> Option<RepairStep> {
-        // Guards against a learner that is dead itself: it would block the next.
+        // A dead learner is removed, as it would keep another candidate from being added.
         let has_timed_out = learner.ms_since_response >= LEARNER_TIMEOUT_MS;
         if has_timed_out || !self.may_vote(&learner.head, learner.store) {
             return Some(RepairStep::Remove(learner.store));
@@ -195,9 +198,9 @@
         if !is_reachable(learner) || !is_caught_up {
             return None;
         }
-        if let Some(departing) = self.leaving.first() {
-            // The learner is there, so no fewer voters are reachable than before.
-            return Some(RepairStep::Replace(departing.store, learner.store));
+        if let Some(outgoing) = self.to_remove.first() {
+            // The learner is reachable, so the number of reachable voters does not decrease.
+            return Some(RepairStep::Replace(outgoing.store, learner.store));
         }
         Some(if self.voters.len() < self.target {
             RepairStep::Promote(learner.store)
@@ -206,7 +209,8 @@
         })
     }
 
-    /// Removes one voter too many: one that has to leave anyway, else one of the zone with the most voters.
+    /// Removes one surplus voter: one that must be removed anyway, or else one of the zone with the most
+    /// voters.
     fn remove_surplus_voter(&self) -> Option<RepairStep> {
         let voters_in_zone_of =
             |member: &GroupMember| self.voters.iter().filter(|other| other.zone == member.zone).count();
@@ -214,21 +218,22 @@
             self.voters.iter().copied().min_by_key(|voter| {
                 (voter.store == self.leader, Reverse(voters_in_zone_of(voter)), voter.store)
             });
-        let departing = self.leaving.first().copied().or(by_zone)?;
-        let still_reachable = self.reachable - usize::from(is_reachable(departing));
+        let outgoing = self.to_remove.first().copied().or(by_zone)?;
+        let still_reachable = self.reachable - usize::from(is_reachable(outgoing));
         let keeps_majority = still_reachable >= majority(self.voters.len() - 1);
-        keeps_majority.then_some(RepairStep::Remove(departing.store))
+        keeps_majority.then_some(RepairStep::Remove(outgoing.store))
     }
 
-    /// The candidate of the zone with the fewest voters that stay, and among those the head that is replaced.
+    /// The best candidate to add: from the zone with the fewest remaining voters, and among those preferably
+    /// the head whose old store is replaced.
     fn best_candidate(&self) -> Option<&VoterCandidate> {
-        let departing = self.leaving.first();
-        let staying = |voter: &&&GroupMember| departing.is_none_or(|out| out.store != voter.store);
+        let outgoing = self.to_remove.first();
+        let remains = |voter: &&&GroupMember| outgoing.is_none_or(|out| out.store != voter.store);
         let voters_in_zone_of = |candidate: &VoterCandidate| {
-            self.voters.iter().filter(staying).filter(|voter| voter.zone == candidate.zone).count()
+            self.voters.iter().filter(remains).filter(|voter| voter.zone == candidate.zone).count()
         };
         let is_another_head =
-            |candidate: &VoterCandidate| departing.is_none_or(|out| out.head != candidate.head);
+            |candidate: &VoterCandidate| outgoing.is_none_or(|out| out.head != candidate.head);
         let suitable = self.candidates.iter().filter(|candidate| self.is_suitable(candidate));
         suitable.min_by_key(|candidate| {
             (voters_in_zone_of(candidate), is_another_head(candidate), candidate.store)
--- a/crates/replication/src/state.rs
+++ b/crates/replication/src/state.rs
@@ -1,81 +1,83 @@
-//! The replicated state, and what each change does to it.
+//! The replicated state machine: commands, changes and their outcomes.
 //!
-//! Every voter applies the same changes in the same order and so has the same state; nothing here may depend on a head's
-//! own settings, clock or random numbers. The order of the variants and fields of [`Command`], [`Change`] and
-//! [`ChangeOutcome`] is part of the log's format.
+//! Every voter applies the same changes in the same order and so reaches the same state; nothing here may
+//! depend on a head's own settings, clock or random numbers. The order of the variants and fields of
+//! [`Command`], [`Change`] and [`ChangeOutcome`] is part of the log's format. The texts of outcomes are part
+//! of the state, as recent outcomes are stored in it.
 
 use crate::store::StoreId;
 use crate::view::{ExportFields, Object, ObjectKey, VersionedObject, View, VoterRules};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Outcomes that are remembered for changes that arrive again, at most; the oldest are dropped first.
+/// Maximum number of outcomes that are remembered for retried changes; the oldest are dropped first.
 pub const MAX_REMEMBERED_OUTCOMES: usize = 4096;
-/// The most tenants.
+/// Maximum number of tenants.
 pub const MAX_TENANTS: usize = 10_000;
-/// The most exports, of all tenants together.
+/// Maximum number of exports, over all tenants.
 pub const MAX_EXPORTS: usize = 20_000;
-/// The most backends that are banned at all heads.
+/// Maximum number of backends that are banned at all heads.
 pub const MAX_BANS: usize = 4096;
-/// The most voters.
+/// Maximum number of voters.
 pub const MAX_VOTERS: u8 = 7;
-/// Shortest and longest silence after which a voter is declared dead, in milliseconds.
+/// Range that operators can set for the time without a response after which a voter is declared dead, in
+/// milliseconds: 1 second to 7 days.
 pub const DEAD_AFTER_RANGE_MS: (u64, u64) = (1000, 7 * 86_400_000);
-/// The longest name, in bytes.
+/// Maximum length of a name, in bytes.
 pub const MAX_NAME_BYTES: usize = 256;
-/// The most heads that are barred from voting, and the most stores that are declared dead.
+/// Maximum number of heads that are barred from voting, and of stores that are declared dead.
 const MAX_RULE_ENTRIES: usize = 256;
 
-/// What a change does.
+/// The operation of a change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
-    /// Put a tenant with exactly these exports.
+    /// Create a tenant, or replace all its exports by these.
     PutTenant {
-        /// Its name.
+        /// The tenant's name.
         tenant: String,
-        /// Its exports.
+        /// The exports' settings by name.
         exports: BTreeMap<String, ExportFields>,
     },
-    /// Put one export of a tenant; the tenant is created if there is none.
+    /// Create or replace one export of a tenant; the tenant is created if it does not exist.
     PutExport {
-        /// The tenant.
+        /// The tenant's name.
         tenant: String,
         /// The export's name.
         export: String,
-        /// Its settings.
+        /// The export's settings.
         fields: ExportFields,
     },
     /// Delete a tenant with all its exports.
     DeleteTenant {
-        /// Its name.
+        /// The tenant's name.
         tenant: String,
     },
     /// Delete one export.
     DeleteExport {
-        /// The tenant.
+        /// The tenant's name.
         tenant: String,
         /// The export's name.
         export: String,
     },
     /// Ban a backend at all heads, or lift the ban.
     Ban {
-        /// Its name.
+        /// The backend's name.
         backend: String,
-        /// Whether it is banned from now on.
+        /// `true` bans the backend, `false` lifts the ban.
         banned: bool,
     },
-    /// Set how many heads vote.
+    /// Set the number of voters.
     SetVoters(u8),
-    /// Set after how long a silent voter is declared dead, in milliseconds.
+    /// Set the time without a response after which a voter is declared dead, in milliseconds.
     SetDeadAfter(u64),
-    /// Set whether a head, by its name, may be a voter.
+    /// Set whether a head may be a voter.
     AllowVoter {
-        /// Its name.
+        /// The head's name.
         head: String,
-        /// Whether it may.
+        /// Whether it may be a voter.
         allowed: bool,
     },
-    /// Declare a voter's store dead: it is replaced at once.
+    /// Declare a voter's store dead, so that the voter is replaced without waiting for a timeout.
     DeclareDead(StoreId),
     /// Restore a backup into an empty state.
     Restore(Vec<VersionedObject>),
@@ -84,9 +86,10 @@
 /// A change: a command with its idempotency key and its precondition.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
-    /// Idempotency key: the same change sent again has the same key, and gets the first outcome.
+    /// Idempotency key: a retry has the same key and gets the outcome of the first attempt.
     pub key: String,
-    /// Compare-and-set: the version that the tenant must have, 0 for no such tenant.
+    /// Compare-and-set: the version that the tenant must have, or 0 if it must not exist; `None` for no
+    /// condition.
     pub expected_version: Option<u64>,
     /// The command.
     pub command: Command,
@@ -95,45 +98,46 @@
 /// The outcome of a change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ChangeOutcome {
-    /// It was carried out.
+    /// The change was applied.
     Done {
-        /// The version of the state since then.
+        /// The version of the state after the change.
         version: u64,
         /// Whether the object did not exist before.
         created: bool,
     },
-    /// There is no object of that name; the text names it.
+    /// The object does not exist; the text names it.
     Missing(String),
-    /// It conflicts with the state or a limit; the text says why.
+    /// The change is invalid or conflicts with the state or a limit; the text says why.
     Conflict(String),
-    /// Compare-and-set: the tenant has this version, 0 for no such tenant.
+    /// Compare-and-set failed: the tenant has this version, or 0 if it does not exist.
     Stale(u64),
-    /// The key was used for another change.
+    /// The idempotency key was used for another change before.
     Reused,
 }
 
-/// The replicated state: what heads read, and the outcomes of recent changes.
+/// The replicated state: the view that heads read, and the outcomes of recent changes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicatedState {
-    /// What heads read of it.
+    /// Tenants, bans and voter rules, as heads read them.
     pub view: View,
     /// Recent changes with their outcomes, by idempotency key.
     outcomes: BTreeMap<String, (Change, ChangeOutcome)>,
-    /// Keys of `answers`, the oldest first.
+    /// Keys of `outcomes`, the oldest first.
     outcome_order: VecDeque<String>,
 }
 
 impl ReplicatedState {
-    /// A state that begins with the view of another, without its remembered outcomes.
+    /// Creates a state from a view, without remembered outcomes.
     pub fn from_view(view: View) -> ReplicatedState {
         ReplicatedState { view, ..ReplicatedState::default() }
     }
 
-    /// Applies one change. A change with a known key is not applied again.
+    /// Applies one change. A retry, recognized by its idempotency key, gets the first outcome and is not
+    /// applied again.
     pub fn apply(&mut self, change: Change) -> ChangeOutcome {
         if let Some((first, outcome)) = self.outcomes.get(&change.key) {
-            // Guards against a retry whose first answer did not arrive: it must neither happen twice nor be reported
-            // as a conflict with itself.
+            // A client retries a change when the first response is lost. Applying it twice would repeat its
+            // effect, or report a conflict with itself.
             return if *first == change { outcome.clone() } else { ChangeOutcome::Reused };
         }
         let outcome = self.execute(&change).unwrap_or_else(|rejected| rejected);
@@ -147,7 +151,7 @@
         outcome
     }
 
-    /// The remembered changes with their outcomes, by idempotency key.
+    /// The remembered changes and their outcomes, by idempotency key.
     pub fn remembered_outcomes(&self) -> &BTreeMap<String, (Change, ChangeOutcome)> {
         &self.outcomes
     }
@@ -157,14 +161,14 @@
         &self.outcome_order
     }
 
-    /// Whether another tenant has an export of this name. Export names are unique over all tenants: clients attach by
-    /// them.
+    /// Whether another tenant has an export of this name. Export names are unique over all tenants, as
+    /// clients attach to an export by its name alone.
     fn has_export_elsewhere(&self, export: &str, tenant: &str) -> bool {
         let mut others = self.view.tenants.iter().filter(|(name, _)| *name != tenant);
         others.any(|(_, tenant)| tenant.exports.contains_key(export))
     }
 
-    /// Carries out a change. Both sides are outcomes; an error is one that leaves the state as it is.
+    /// Executes a change. Both sides of the result are outcomes; `Err` means that the state is unchanged.
     fn execute(&mut self, change: &Change) -> Result<ChangeOutcome, ChangeOutcome> {
         if let Command::Restore(objects) = &change.command {
             return self.restore(objects);
@@ -184,7 +188,7 @@
         Ok(ChangeOutcome::Done { version, created })
     }
 
-    /// What a command does to which object.
+    /// The change of one object that a command makes.
     fn object_change(&self, command: &Command) -> Result<ObjectChange, ChangeOutcome> {
         match command {
             Command::PutTenant { tenant, exports } => self.put_tenant(tenant, exports),
@@ -267,10 +271,10 @@
                 rules.voters = *voters;
             }
             Command::SetDeadAfter(after) => {
-                let (least, most) = DEAD_AFTER_RANGE_MS;
-                if !(least..=most).contains(after) {
+                let (min, max) = DEAD_AFTER_RANGE_MS;
+                if !(min..=max).contains(after) {
                     return Err(ChangeOutcome::Conflict(format!(
-                        "lost-after is {least} to {most} milliseconds"
+                        "lost-after is {min} to {max} milliseconds"
                     )));
                 }
                 rules.dead_after_ms = *after;
@@ -283,7 +287,7 @@
             Command::DeclareDead(store) => drop(rules.declared_dead.insert(*store)),
             _ => {}
         }
-        // Guards against unbounded lists: stores that were removed long ago no longer matter.
+        // Bounds the list. The entries dropped belong to stores that were removed from the group long ago.
         while rules.declared_dead.len() > MAX_RULE_ENTRIES {
             rules.declared_dead.pop_first();
         }
@@ -295,7 +299,7 @@
         Ok(rules)
     }
 
-    /// Restores a backup, into an empty state only: it must not undo what was committed since.
+    /// Restores a backup, into an empty state only, as it must not undo changes that were committed since.
     fn restore(&mut self, objects: &[VersionedObject]) -> Result<ChangeOutcome, ChangeOutcome> {
         if self.view.version > 0 {
             return Err(ChangeOutcome::Conflict(format!(
@@ -311,7 +315,7 @@
         Ok(ChangeOutcome::Done { version, created: true })
     }
 
-    /// Whether a tenant may have an export of this name.
+    /// Checks that a tenant may have an export of this name.
     fn check_export_name(&self, tenant: &str, export: &str) -> Result<(), ChangeOutcome> {
         check_name(export)?;
         if self.has_export_elsewhere(export, tenant) {
@@ -320,7 +324,8 @@
         Ok(())
     }
 
-    /// Whether a tenant may have `additional` exports more. Guards against a state that outgrows the heads' memory.
+    /// Checks the limits on tenants and exports, which bound the memory that the state takes in each head,
+    /// for a tenant that gets `additional` exports.
     fn check_capacity(&self, tenant: &str, additional: usize) -> Result<(), ChangeOutcome> {
         let tenants = &self.view.tenants;
         let exports: usize = tenants.values().map(|tenant| tenant.exports.len()).sum();
@@ -333,12 +338,12 @@
     }
 }
 
-/// What a command does to one object.
+/// The effect of a command on one object.
 struct ObjectChange {
     key: ObjectKey,
-    /// The object; `None` if it is removed.
+    /// The new object; `None` if the object is removed.
     object: Option<Object>,
-    /// The object, or the export in it, did not exist before.
+    /// Whether the object, or the export in it, did not exist before.
     created: bool,
 }
 
@@ -349,7 +354,7 @@
 }
 
 impl Command {
-    /// The tenant that it changes, if it changes one.
+    /// The tenant that the command changes, if any.
     fn tenant(&self) -> Option<&str> {
         match self {
             Command::PutTenant { tenant, .. } | Command::PutExport { tenant, .. } => Some(tenant),
@@ -359,7 +364,7 @@
     }
 }
 
-/// Whether a name of a tenant, an export, a backend or a head is acceptable.
+/// Checks the name of a tenant, an export, a backend or a head.
 fn check_name(name: &str) -> Result<(), ChangeOutcome> {
     let is_valid = !name.is_empty() && name.len() <= MAX_NAME_BYTES && !name.chars().any(char::is_control);
     if is_valid {
--- a/crates/replication/src/store.rs
+++ b/crates/replication/src/store.rs
@@ -1,5 +1,5 @@
-//! Identity of a store: the folder in which one head keeps its log, its vote and its last snapshot.
+//! Identity of a store: the directory in which one head keeps its log, its vote and its last snapshot.
 
-/// Number of a store. It is drawn at random when the folder is first used, and never again: a wiped disk gets another
-/// number, so it cannot be mistaken for the store that was there before.
+/// Random number that identifies a store. It is generated once, when the directory is created, so a wiped
+/// disk gets another number and cannot be mistaken for the store that it replaces.
 pub type StoreId = u64;
--- a/crates/replication/src/subscribe.rs
+++ b/crates/replication/src/subscribe.rs
@@ -1,10 +1,11 @@
-//! Messages of a subscription: what a follower sends its upstream with each poll, and what it gets back.
+//! Messages of a subscription: a follower's polls and the responses of its upstream.
 //!
-//! Whatever seldom changes (the route over which updates come, the relays' directory, the summary of a subtree) is sent
-//! only when its digest or content differs from what the other side has cached, so that a poll without changes takes
-//! some tens of bytes in each direction, however large the fleet is.
+//! Parts that seldom change (the route of updates, the directory of relays, the summary of a subtree) are
+//! sent only if they differ from what the receiver has cached. A poll without changes therefore takes some
+//! tens of bytes in each direction, however large the cluster is.
 //!
-//! The order of the fields and variants of all messages is part of the wire format ([`record`](crate::record)).
+//! The order of the fields and variants of all messages is part of the wire format
+//! ([`record`](crate::record)).
 
 use crate::peer::{Downstream, Peer, Voters};
 use crate::relay::{FollowerRole, RelayDirectory};
@@ -13,59 +14,60 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// How long a poll of an ordinary head waits at its upstream, in milliseconds. With [`RELAY_POLL_TIMEOUT_MS`] and the time for
-/// an answer in front of it, the state of a head behind a relay is known to be the newest within
-/// [`MAX_UPDATE_AGE_MS`](crate::follow::MAX_UPDATE_AGE_MS) (1 s at the relay, 3 s here, and 1 s to spare).
+/// Time for which a poll of an ordinary head waits at its upstream for a change, in milliseconds. Together
+/// with [`RELAY_POLL_TIMEOUT_MS`], it keeps the age of the state at a head behind a relay within
+/// [`MAX_UPDATE_AGE_MS`](crate::follow::MAX_UPDATE_AGE_MS): 1 s at the relay, 3 s here, and 1 s left for the
+/// responses.
 pub const HEAD_POLL_TIMEOUT_MS: Millis = 3000;
-/// How long the poll of a relay waits, of any other head that serves followers, and of one whose upstream is stale, in
-/// milliseconds: each head on the route adds its own wait to the age of an update.
+/// The same for a relay, for any other head that serves followers, and for a head whose upstream is stale, in
+/// milliseconds. It is shorter because each head on the route adds its own to the age of an update.
 pub const RELAY_POLL_TIMEOUT_MS: Millis = 1000;
-/// The longest wait that an upstream grants, in milliseconds.
+/// Maximum time for which an upstream lets a poll wait, in milliseconds.
 pub const MAX_POLL_TIMEOUT_MS: Millis = HEAD_POLL_TIMEOUT_MS;
-/// Followers named in a [`SubtreeSummary`], at most.
+/// Maximum number of followers named in a [`SubtreeSummary`].
 pub const MAX_SAMPLE: usize = 16;
-/// Peers named in a [`Redirect`], at most.
+/// Maximum number of peers named in a [`Redirect`].
 pub const MAX_REDIRECT_PEERS: usize = 64;
-/// A summary whose followers have changed is sent again no sooner than this, in milliseconds.
+/// Minimum interval between summaries if the followers have changed, in milliseconds.
 const MIN_SUMMARY_INTERVAL_MS: Millis = 1000;
-/// The same where only versions have changed.
+/// Minimum interval between summaries if only versions have changed, in milliseconds.
 const VERSION_SUMMARY_INTERVAL_MS: Millis = 5000;
-/// An unchanged summary is sent again after this, in milliseconds.
+/// Interval at which an unchanged summary is sent again, in milliseconds.
 const MAX_SUMMARY_INTERVAL_MS: Millis = 30_000;
-/// Peers of earlier versions that are remembered, at most.
+/// Maximum number of peers that are remembered as running an earlier version of the program.
 const MAX_LEGACY_PEERS: usize = 64;
-/// How long a peer is remembered as one of an earlier version, in milliseconds.
-const LEGACY_MEMORY_MS: Millis = 600_000;
+/// Time for which a peer is remembered as running an earlier version, in milliseconds.
+const LEGACY_PEER_TTL_MS: Millis = 600_000;
 
-/// Digests of what a follower has cached; 0 for what it does not have.
+/// Digests of the parts that a follower has cached; 0 for a part that it does not have.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CachedDigests {
-    /// Of the [`Route`].
+    /// Digest of the [`Route`].
     pub route: u32,
-    /// Of the [`RelayDirectory`].
+    /// Digest of the [`RelayDirectory`].
     pub directory: u32,
 }
 
-/// A fixed-size description of all followers behind one head.
+/// A summary of bounded size of all followers of one head, direct and indirect.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SubtreeSummary {
-    /// How many there are.
+    /// Number of followers.
     pub heads: u32,
-    /// The lowest version that one of them has.
+    /// The lowest version of any of them; 0 if there are none.
     pub lowest_version: u64,
-    /// Some of them, [`MAX_SAMPLE`] at the most.
+    /// Some of the followers, at most [`MAX_SAMPLE`].
     pub sample: Vec<Downstream>,
 }
 
 impl SubtreeSummary {
-    /// The summary of a complete list, as heads of earlier versions send it.
+    /// Summarizes a complete list of followers, which is what heads of earlier versions send.
     pub fn from_followers(list: Vec<Downstream>) -> SubtreeSummary {
         let lowest_version = list.iter().map(|follower| follower.version).min().unwrap_or(0);
         let heads = u32::try_from(list.len()).unwrap_or(u32::MAX);
         SubtreeSummary { heads, lowest_version, sample: list.into_iter().take(MAX_SAMPLE).collect() }
     }
 
-    /// The same with no more than [`MAX_SAMPLE`] followers named.
+    /// Limits the sample to [`MAX_SAMPLE`] followers.
     pub fn bounded(mut self) -> SubtreeSummary {
         self.sample.truncate(MAX_SAMPLE);
         self
@@ -79,90 +81,96 @@
     }
 }
 
-/// One poll of a follower. Which head polls is known from the connection's greeting.
+/// One poll of a follower. The upstream knows which head polls from the connection's greeting.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Subscription {
     /// The follower's role.
     pub role: FollowerRole,
     /// Its region, if it has one.
     pub region: Option<String>,
-    /// The version that it has.
+    /// The version of its view.
     pub version: u64,
-    /// It has all changes up to this version, some perhaps in a transfer in progress.
+    /// It has received all changes up to this version, part of them possibly in a transfer that is not
+    /// complete.
     pub since: u64,
-    /// The version at which that transfer began; 0 if there is none.
+    /// The version at which the transfer in progress began; 0 for none.
     pub first_version: u64,
-    /// How long it waits for a change, in milliseconds.
+    /// Time for which the poll waits for a change, in milliseconds.
     pub poll_timeout: Millis,
-    /// What it has cached.
+    /// Digests of the parts that it has cached.
     pub cached: CachedDigests,
-    /// It reaches no relay, or is about to move to one: it is to be served here although relays are known.
+    /// Asks to be served even if the upstream knows relays: the follower reaches no relay, or is about to
+    /// move to one.
     pub bypass_relays: bool,
-    /// The summary of its subtree, if that is to be sent now.
+    /// The summary of its subtree, if it is due; see [`SummaryReporter`].
     pub summary: Option<SubtreeSummary>,
 }
 
-/// The heads over which updates come, and the voters.
+/// The path of updates from a voter, and the voters.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Route {
-    /// The fleet's origin; `None` from an upstream of an earlier version.
+    /// The cluster's origin, as of [`cluster_origin`](crate::greeting::cluster_origin); `None` from an
+    /// upstream of an earlier version.
     pub origin: Option<u64>,
-    /// The heads over which the update came, a voter first.
+    /// Names of the heads that passed the update on, beginning with a voter.
     pub path: Vec<String>,
-    /// The leader, as far as known.
+    /// The leader, if the upstream knows it.
     pub leader: Option<Peer>,
-    /// The voters, as far as known.
+    /// The voters, as the upstream knows them.
     pub voters: Voters,
 }
 
-/// What a follower lacks.
+/// The changes and other parts that a follower lacks.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Update {
-    /// The version that the upstream has.
+    /// The version of the upstream's view.
     pub version: u64,
-    /// Milliseconds since the voter from which it came was sure to have the newest version.
+    /// Time since the voter at the beginning of the route was last sure to have the newest version, in
+    /// milliseconds.
     pub age: Millis,
     /// The changes, if there are any.
     pub chunk: Option<Chunk>,
-    /// The route, if the follower has cached another.
+    /// The route, unless the follower has cached the same.
     pub route: Option<Route>,
-    /// The relays, if the follower has cached another directory.
+    /// The directory of relays, unless the follower has cached the same.
     pub directory: Option<RelayDirectory>,
 }
 
 /// Other heads to poll instead.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Redirect {
-    /// The relays, if the follower has cached another directory.
+    /// The directory of relays, unless the follower has cached the same.
     pub directory: Option<RelayDirectory>,
     /// Followers of this head, which may have capacity.
     pub peers: Vec<Peer>,
 }
 
-/// The answer to a [`Subscription`].
+/// The response to a [`Subscription`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SubscribeResponse {
-    /// What the follower lacks, or that it lacks nothing.
+    /// What the follower lacks; without a chunk if it lacks no changes.
     Update(Update),
-    /// It is to poll other heads.
+    /// The follower must poll other heads.
     Redirect(Redirect),
-    /// It is to poll again after this time, in milliseconds: enough transfers are in progress.
+    /// The follower must poll again after this time, in milliseconds: too many large transfers are in
+    /// progress.
     RetryAfter(Millis),
 }
 
-/// Decides when a follower sends the summary of its subtree.
+/// Decides when a follower sends its upstream the summary of its subtree.
 #[derive(Debug, Default)]
 pub struct SummaryReporter {
     last: Option<(Millis, SubtreeSummary)>,
 }
 
 impl SummaryReporter {
-    /// The upstream has changed, or it is not known what it has received: the next summary is sent in any case.
+    /// Makes the next summary due at once, because the upstream has changed or may not have received the last
+    /// summary.
     pub fn reset(&mut self) {
         self.last = None;
     }
 
-    /// The summary, if it is to be sent now.
+    /// Returns the summary if it is due, and records it as sent.
     pub fn next_report(&mut self, now: Millis, summary: SubtreeSummary) -> Option<SubtreeSummary> {
         let is_due = match &self.last {
             None => summary.heads > 0,
@@ -186,25 +194,27 @@
     }
 }
 
-/// Peers of earlier versions, which do not know subscriptions, each with the incarnation in which that was seen.
+/// Peers that run an earlier version of the program, without subscriptions. A peer is remembered for one
+/// incarnation, as it may be upgraded at its next start.
 #[derive(Debug, Default)]
 pub struct LegacyPeers {
+    /// Incarnation of each peer and the time at which it was remembered, by the head's name.
     by_head: BTreeMap<String, (u64, Millis)>,
 }
 
 impl LegacyPeers {
-    /// A peer closed the connection when it received a subscription.
+    /// Remembers a peer that closed the connection when it received a subscription.
     pub fn remember(&mut self, now: Millis, head: &str, incarnation: u64) {
-        self.by_head.retain(|_, (_, noted_at)| now < *noted_at + LEGACY_MEMORY_MS);
+        self.by_head.retain(|_, (_, remembered_at)| now < *remembered_at + LEGACY_PEER_TTL_MS);
         if self.by_head.len() < MAX_LEGACY_PEERS || self.by_head.contains_key(head) {
             self.by_head.insert(head.to_owned(), (incarnation, now));
         }
     }
 
-    /// Whether a peer is to be polled with the earlier request.
+    /// Whether a peer must be polled with the request of earlier versions.
     pub fn contains(&self, now: Millis, head: &str, incarnation: u64) -> bool {
-        self.by_head
-            .get(head)
-            .is_some_and(|(known, noted_at)| *known == incarnation && now < *noted_at + LEGACY_MEMORY_MS)
+        self.by_head.get(head).is_some_and(|(known, remembered_at)| {
+            *known == incarnation && now < *remembered_at + LEGACY_PEER_TTL_MS
+        })
     }
 }
--- a/crates/replication/src/time.rs
+++ b/crates/replication/src/time.rs
@@ -1,4 +1,4 @@
-//! The unit of time of all decisions in this crate. The caller owns the clock and passes the time in.
+//! The unit of time of this crate. The caller owns the clock and passes the current time in.
 
-/// Milliseconds: a duration, or a point on the caller's clock, which never goes back.
+/// Milliseconds: a duration, or a point in time on the caller's monotonic clock.
 pub type Millis = u64;
--- a/crates/replication/src/upstream.rs
+++ b/crates/replication/src/upstream.rs
@@ -1,7 +1,8 @@
-//! What a head answers its followers: an update, a redirect, or nothing yet.
+//! The responses of a head to the polls of its followers: an update or a redirect, and whether the poll waits
+//! first.
 //!
-//! These are pure functions over the head's view and what it knows about the cluster; whether a follower is served at
-//! all is decided by [`Followers`](crate::follow::Followers).
+//! These are pure functions of the head's view and of what it knows about the cluster.
+//! [`Followers`](crate::follow::Followers) decides whether a follower is served at all.
 
 use crate::peer::Peer;
 use crate::relay::RelayDirectory;
@@ -10,31 +11,31 @@
 use crate::transfer_permits::SMALL_CHUNK_BYTES;
 use crate::view::{Chunk, View};
 
-/// Whether a poll waits for a change: the follower has exactly this version. A follower that is ahead of its upstream is
-/// answered at once, so that it looks for another.
+/// Whether the follower has exactly this version, so that its poll waits for the next change. A follower that
+/// is ahead of this head gets a response at once, so that it looks for another upstream.
 pub fn is_up_to_date(subscription: &Subscription, version: u64) -> bool {
     subscription.first_version == 0 && subscription.since == version && subscription.version == version
 }
 
-/// Whether a chunk needs a permit of [`TransferPermits`](crate::transfer_permits::TransferPermits), as part of a large
-/// transfer.
+/// Whether a chunk is part of a large transfer, which needs one of the
+/// [`TransferPermits`](crate::transfer_permits::TransferPermits).
 pub fn needs_permit(chunk: &Chunk) -> bool {
     chunk.up_to < chunk.version || chunk.size() > SMALL_CHUNK_BYTES
 }
 
-/// What a head sends its followers beside its view.
+/// What a head sends to its followers besides its view.
 #[derive(Clone, Debug)]
 pub struct UpdateSource {
-    /// The heads over which its own updates come, itself last.
+    /// The route of its own updates, with this head last.
     pub route: Route,
-    /// How old its view may be, in milliseconds.
+    /// Time since its view was last known to be the newest version, in milliseconds.
     pub age: Millis,
-    /// The relays that it knows; `None` if it does not know whether there are any.
+    /// The relays that it knows; `None` if it does not know yet whether there are any.
     pub directory: Option<RelayDirectory>,
 }
 
 impl UpdateSource {
-    /// What a follower lacks of a view, with about `max_bytes` bytes of changes at most.
+    /// The update for a follower: what it lacks of `view`, limited to about `max_bytes` bytes of changes.
     pub fn update(&self, view: &View, subscription: &Subscription, max_bytes: usize) -> Update {
         let Subscription { since, first_version, cached, .. } = *subscription;
         let has_changes = since < view.version || first_version > 0;
@@ -49,12 +50,12 @@
     }
 }
 
-/// The directory, if the follower has another one.
+/// The directory, unless the follower has cached the same.
 fn missing_directory(directory: Option<&RelayDirectory>, cached: CachedDigests) -> Option<RelayDirectory> {
     directory.filter(|directory| directory.digest() != cached.directory).cloned()
 }
 
-/// Redirects a follower that is not served here: to the relays, and to these peers.
+/// Redirects a follower that is not served here to the relays and to `peers`.
 pub fn redirect(directory: Option<&RelayDirectory>, cached: CachedDigests, mut peers: Vec<Peer>) -> Redirect {
     peers.truncate(MAX_REDIRECT_PEERS);
     Redirect { directory: missing_directory(directory, cached), peers }
--- a/crates/replication/src/view.rs
+++ b/crates/replication/src/view.rs
@@ -1,42 +1,44 @@
-//! What heads read of the state: tenants, bans and rules, each with the version at which it last changed; and its
-//! transfer from head to head, in chunks that can be resumed.
+//! The view of the replicated state that heads read (tenants, bans and voter rules, each with the version of
+//! its last change), and its transfer between heads in resumable chunks.
 //!
-//! Every change has a version of its own and touches one object, so a head at version `s` needs the objects whose last
-//! version is past `s`, in the order of their versions. A removed object stays as a tombstone with its version; the
-//! oldest tombstones are dropped first, and a head that is behind the [floor](View::floor) starts over.
+//! Every change has a version of its own and changes one object, so a head at version `s` needs the objects
+//! whose last change is later than `s`, in the order of their versions. A removed object is kept as a
+//! tombstone with its version. The number of tombstones is limited and the oldest are dropped first; a head
+//! that is behind the [floor](View::floor), the last dropped tombstone, needs a transfer of everything.
 //!
-//! A [`View`] belongs to one head and knows nothing of its settings: whether an export can be served there is not
-//! checked here.
+//! A [`View`] belongs to one head. It does not depend on that head's settings and does not check whether the
+//! head can serve an export.
 
 use crate::store::StoreId;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use thiserror::Error;
 
-/// Tombstones that are kept for heads that are behind, at most.
+/// Maximum number of tombstones that are kept for heads that are behind.
 pub const MAX_TOMBSTONES: usize = 4096;
 
-/// The settings of an export, as key and value in the terms of the operator's file, without `tenant` and `name`. Each
+/// The settings of an export, as keys and values of the operator's file, without `tenant` and `name`. Each
 /// head checks them against its own settings.
 pub type ExportFields = BTreeMap<String, String>;
 
 /// A tenant with its exports.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tenant {
-    /// Version of the state at its last change; what compare-and-set compares.
+    /// Version of the state at its last change; compare-and-set compares it.
     pub version: u64,
     /// Its exports by name.
     pub exports: BTreeMap<String, ExportFields>,
 }
 
-/// The operators' rules for the voters.
+/// The operators' rules on which heads vote.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VoterRules {
-    /// How many heads are to vote; 0 for as many as there are.
+    /// Number of voters wanted; 0 to keep the current number.
     pub voters: u8,
-    /// Silence after which a voter is declared dead and replaced, in milliseconds; 0 for the default.
+    /// Time without a response after which a voter is declared dead and replaced, in milliseconds; 0 for the
+    /// default.
     pub dead_after_ms: u64,
-    /// Heads that must not vote, by name.
+    /// Names of heads that must not vote.
     pub barred_heads: BTreeSet<String>,
     /// Stores that operators have declared dead.
     pub declared_dead: BTreeSet<StoreId>,
@@ -49,29 +51,29 @@
     Tenant(String),
     /// A backend that is banned at all heads.
     Backend(String),
-    /// The rules, of which there is one set.
+    /// The voter rules, of which there is one set.
     Rules,
 }
 
 /// An object of the replicated state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Object {
-    /// A tenant with its exports.
+    /// A tenant, as its exports by name.
     Tenant(BTreeMap<String, ExportFields>),
-    /// A ban.
+    /// A ban of a backend.
     Ban,
-    /// The rules.
+    /// The voter rules.
     Rules(VoterRules),
 }
 
 /// An object, or its tombstone, with the version of its last change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionedObject {
-    /// The version.
+    /// The version of the state at its last change.
     pub version: u64,
     /// Its key.
     pub key: ObjectKey,
-    /// The object; `None` if it was removed.
+    /// The object; `None` for a tombstone.
     pub object: Option<Object>,
 }
 
@@ -96,16 +98,16 @@
     }
 }
 
-/// A part of what a head that is behind lacks.
+/// A part of the objects that a head lacks.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Chunk {
     /// The objects, in the order of their versions.
     pub objects: Vec<VersionedObject>,
-    /// The follower has everything up to this version once it has these.
+    /// With these objects, the follower has everything up to this version.
     pub up_to: u64,
-    /// The version of the head that serves it; the transfer is complete when `up_to` reaches it.
+    /// The version of the serving head; the transfer is complete when `up_to` reaches it.
     pub version: u64,
-    /// Start over: this chunk is the first of a transfer of everything.
+    /// This chunk is the first of a transfer of everything; the follower drops what it has received before.
     pub restart: bool,
 }
 
@@ -116,28 +118,28 @@
     }
 }
 
-/// What heads read of the state.
+/// The view of the replicated state that heads read.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct View {
-    /// The number of changes that were carried out.
+    /// The version of the state: the number of changes that were applied.
     pub version: u64,
     /// The tenants by name.
     pub tenants: BTreeMap<String, Tenant>,
     /// Backends that are banned at all heads, each with the version of its ban.
     pub bans: BTreeMap<String, u64>,
-    /// The rules.
+    /// The voter rules.
     pub rules: VoterRules,
-    /// Every object and tombstone by the version of its last change.
+    /// Key of every object and tombstone, by the version of its last change.
     by_version: BTreeMap<u64, ObjectKey>,
-    /// Of every object and tombstone, the version of its last change.
+    /// Version of the last change of every object and tombstone, by its key.
     versions: BTreeMap<ObjectKey, u64>,
     tombstones: usize,
-    /// Tombstones up to this version were dropped.
+    /// Version of the last tombstone that was dropped, 0 for none.
     floor: u64,
 }
 
 impl View {
-    /// Inserts an object, or its tombstone; its version must be the newest there is.
+    /// Inserts an object or a tombstone; its version must be higher than all others in the view.
     pub fn put(&mut self, object: VersionedObject) {
         let VersionedObject { version, key, object } = object;
         if let Some(previous) = self.versions.insert(key.clone(), version) {
@@ -168,7 +170,8 @@
         }
     }
 
-    /// Guards against unbounded growth where tenants come and go.
+    /// Drops the oldest tombstones over the limit, so that the view does not grow as tenants are created and
+    /// deleted.
     fn prune_tombstones(&mut self) {
         while self.tombstones > MAX_TOMBSTONES {
             let oldest = self.by_version.iter().find(|(_, key)| !self.contains(key));
@@ -190,10 +193,11 @@
         VersionedObject { version, key: key.clone(), object }
     }
 
-    /// What a head lacks that has everything up to `since` and began its transfer at `first_version` (0 for none): about
-    /// `max_bytes` bytes of it, and at least one object.
+    /// The next chunk for a head that has everything up to `since`: about `max_bytes` bytes, and at least one
+    /// object if it lacks any. `first_version` is the version at which its transfer in progress began, 0 for
+    /// none.
     pub fn chunk(&self, since: u64, first_version: u64, max_bytes: usize) -> Chunk {
-        // Only tombstones dropped since the transfer began are missing from it.
+        // The head can lack a removal only if a tombstone later than both versions was dropped.
         let restart = self.floor > since.max(first_version);
         let since = if restart { 0 } else { since };
         let (mut objects, mut size) = (Vec::new(), 0);
@@ -209,12 +213,13 @@
         Chunk { objects, up_to: self.version, version: self.version, restart }
     }
 
-    /// How many tombstones are kept.
+    /// The number of tombstones kept.
     pub fn tombstones(&self) -> usize {
         self.tombstones
     }
 
-    /// The version up to which tombstones were dropped; a head that is behind it starts over.
+    /// The version up to which tombstones were dropped. A head that is behind it needs a transfer of
+    /// everything.
     pub fn floor(&self) -> u64 {
         self.floor
     }
@@ -224,7 +229,7 @@
         self.by_version.iter().map(|(version, key)| self.object(*version, key))
     }
 
-    /// Whether two views have the same contents, whatever tombstones they keep.
+    /// Whether two views have the same version and objects, regardless of their tombstones.
     pub fn same_contents(&self, other: &View) -> bool {
         let objects =
             |view: &View| (view.version, view.tenants.clone(), view.bans.clone(), view.rules.clone());
@@ -232,44 +237,47 @@
     }
 }
 
-/// The upstream is behind its follower, or behind another upstream that has answered before.
+/// The upstream has a lower version than its follower, or than an upstream that served an earlier chunk of
+/// the transfer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("it has gone back")]
+#[error("its version is older than one already received")]
 pub struct UpstreamBehind;
 
-/// A transfer in progress: its chunks are gathered here and reach the view together, so that what is read was true at
-/// some version.
+/// A transfer in progress. Its chunks are collected here and applied to the view together, so that readers
+/// never see a mixture of versions.
 #[derive(Clone, Debug, Default)]
 pub struct Transfer {
     objects: Vec<VersionedObject>,
-    /// Everything up to this version is gathered.
+    /// Everything up to this version has been received.
     up_to: u64,
-    /// The version of the head that served the first chunk.
+    /// The version of the head that served the first chunk; 0 if no transfer is in progress.
     first_version: u64,
-    /// The highest version that any upstream had.
+    /// The highest version of an upstream during this transfer.
     newest_version: u64,
-    /// The view is to be replaced, not updated.
+    /// The transfer replaces the view instead of updating it.
     restart: bool,
 }
 
 impl Transfer {
-    /// What to request next: `since` and `first_version` of [`View::chunk`].
+    /// The arguments `since` and `first_version` of [`View::chunk`] for the next request.
     pub fn next_request(&self, view: &View) -> (u64, u64) {
         if self.first_version > 0 { (self.up_to, self.first_version) } else { (view.version, 0) }
     }
 
-    /// Accepts a chunk received in answer to [`next_request`](Transfer::next_request). Returns whether the view has
-    /// changed.
+    /// Adds a chunk received for [`next_request`](Transfer::next_request), and applies the transfer to the
+    /// view if it is complete. Returns whether the view has changed.
     ///
     /// # Errors
-    /// The upstream is behind and cannot be followed.
+    /// The upstream is behind. Its chunk is dropped, and so is a transfer that an upstream with a later
+    /// version began.
     pub fn accept(&mut self, view: &mut View, chunk: Chunk) -> Result<bool, UpstreamBehind> {
         if chunk.version < view.version {
-            // Guards against versions that go back, as readers would see them.
+            // Readers must not see the version decrease.
             return Err(UpstreamBehind);
         }
         if chunk.version < self.newest_version {
-            // Guards against a mixture: an older upstream does not know which objects have changed since.
+            // An older upstream does not have the later changes of objects, so its chunks cannot complete a
+            // transfer that a newer one began.
             *self = Transfer::default();
             return Err(UpstreamBehind);
         }
@@ -289,7 +297,7 @@
             *view = View { floor: first_version, ..View::default() };
         }
         let has_changed = restart || view.version != chunk.version;
-        // An object that was sent twice ends up with its last version.
+        // Of an object that was received twice, the later version is applied last.
         objects.into_iter().for_each(|object| view.put(object));
         view.version = chunk.version;
         Ok(has_changed)
--- a/crates/replication/tests/frozen_formats.rs
+++ b/crates/replication/tests/frozen_formats.rs
@@ -1,10 +1,10 @@
 //! What heads send each other and what they store, frozen byte for byte.
 //!
-//! Heads of neighbouring versions share one fleet, and a later program opens the stores and backups of an earlier one.
-//! The encoding names no field and no type, so a renaming must leave every byte as it is; a field or a variant that
-//! moves would be read as another. Each value here is encoded and compared with its line in `recorded/formats.txt`,
-//! and the line is decoded and compared with the value. The file is never written by a test: where a format changes on
-//! purpose, the failure shows the new line.
+//! Heads of neighbouring versions share one fleet, and a later program opens the stores and backups of an
+//! earlier one. The encoding names no field and no type, so a renaming must leave every byte as it is; a
+//! field or a variant that moves would be read as another. Each value here is encoded and compared with its
+//! line in `recorded/formats.txt`, and the line is decoded and compared with the value. The file is never
+//! written by a test: where a format changes on purpose, the failure shows the new line.
 
 mod recorded;
 
--- a/crates/replication/tests/model.rs
+++ b/crates/replication/tests/model.rs
@@ -1,10 +1,11 @@
-//! The promise of the store as a model that stateright explores: machines that crash, lose their disks or get older
-//! copies of them back, with this crate's own decisions on who is an older copy ([`Watermarks`]) and who votes
-//! ([`repair`]) in it. The consensus round them is reduced to its rules: a vote goes to a log that is no shorter,
-//! once a term; a value is promised once a majority of the voters holds it in the leader's term.
+//! The promise of the store as a model that stateright explores: machines that crash, lose their disks or get
+//! older copies of them back, with this crate's own decisions on who is an older copy ([`Watermarks`]) and
+//! who votes ([`repair`]) in it. The consensus round them is reduced to its rules: a vote goes to a log that
+//! is no shorter, once a term; a value is promised once a majority of the voters holds it in the leader's
+//! term.
 //!
-//! It proves, for the bounds named below and no more, that no order of these steps loses a promised value; each
-//! guard taken out ("injected") gives an order that does.
+//! It proves, for the bounds named below and no more, that no order of these steps loses a promised value;
+//! each guard taken out ("injected") gives an order that does.
 
 use sedgerun_replication::repair::{self, GroupMember, RepairStep, VoterCandidate};
 use sedgerun_replication::view::VoterRules;
@@ -360,8 +361,8 @@
     }
 }
 
-/// What is not promised, and why docs/design/store.md says so: with an older copy put back while another machine
-/// is down, nobody is left who remembers.
+/// What is not promised, and why docs/design/store.md says so: with an older copy put back while another
+/// machine is down, nobody is left who remembers.
 #[test]
 fn an_older_copy_beside_a_second_machine_that_is_down_is_beyond_the_promise() {
     assert!(explore(RemovedGuard::TwoDown, 3, 2, 1).0);
--- a/crates/replication/tests/relay.rs
+++ b/crates/replication/tests/relay.rs
@@ -260,8 +260,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 48, ..ProptestConfig::default() })]
 
-    /// Deaths, cuts, slowness and returns in any order: never a ring, no head beyond its capacity, and once the order
-    /// of events is over every head with a way to a voter is up to date.
+    /// Deaths, cuts, slowness and returns in any order: never a ring, no head beyond its capacity, and once
+    /// the order of events is over every head with a way to a voter is up to date.
     #[test]
     fn a_head_reaches_a_live_path_whenever_there_is_one(
         seed in any::<u64>(),
