--- a/crates/replication/tests/election.rs
+++ b/crates/replication/tests/election.rs
@@ -1,4 +1,4 @@
-//! When a voter campaigns: timeouts, questions to the others, and draws.
+//! When a voter starts an election: timeouts, pre-votes and retry delays.
 
 use sedgerun_replication::election::{Election, ElectionStep, ElectionTimeouts, Millis};
 use std::collections::BTreeSet;
@@ -6,98 +6,109 @@
 const ELECTION_TIMEOUTS: ElectionTimeouts =
     ElectionTimeouts { leader_timeout_ms: 500, jitter_ms: 300, retry_ms: 400 };
 
-fn silent(election: &mut Election) -> (Millis, u64) {
+/// Lets the leader timeout of voter 1 of 5 pass without a heartbeat. Returns the time and the round of the pre-vote.
+fn start_pre_vote(election: &mut Election) -> (Millis, u64) {
     let voters = BTreeSet::from([1, 2, 3, 4, 5]);
-    let ElectionStep::WaitUntil(due) = election.step(0, 1, &voters) else { panic!("at once") };
-    let ElectionStep::PreVote { round, voters: others } = election.step(due, 1, &voters) else {
-        panic!("unasked")
+    let ElectionStep::WaitUntil(timeout_at) = election.step(0, 1, &voters) else {
+        panic!("no wait for the leader timeout")
+    };
+    let ElectionStep::PreVote { round, voters: others } = election.step(timeout_at, 1, &voters) else {
+        panic!("no pre-vote after the leader timeout")
     };
     assert_eq!(others, BTreeSet::from([2, 3, 4, 5]));
-    (due, round)
+    (timeout_at, round)
 }
 
 #[test]
-fn it_campaigns_only_when_a_majority_hears_nobody() {
+fn a_voter_campaigns_only_after_a_majority_reports_no_leader() {
     let mut election = Election::new(ELECTION_TIMEOUTS, 1, 0);
-    let (due, round) = silent(&mut election);
-    assert!((500..=800).contains(&due));
-    // Of five, two more make a majority; one that hears a leader, a stranger and a repeat do not count.
-    for (from, silent) in [(2, false), (9, true), (3, true), (3, true)] {
+    let (now, round) = start_pre_vote(&mut election);
+    assert!((500..=800).contains(&now));
+    // Two of the other four voters complete a majority of five. A voter with a leader, a head that is not a voter and a
+    // repeated response do not count.
+    for (from, has_no_leader) in [(2, false), (9, true), (3, true), (3, true)] {
         assert!(
-            matches!(election.on_pre_vote_response(due, round, from, silent), ElectionStep::WaitUntil(_)),
+            matches!(
+                election.on_pre_vote_response(now, round, from, has_no_leader),
+                ElectionStep::WaitUntil(_)
+            ),
             "{from}"
         );
     }
-    assert_eq!(election.on_pre_vote_response(due, round, 4, true), ElectionStep::Campaign);
+    assert_eq!(election.on_pre_vote_response(now, round, 4, true), ElectionStep::Campaign);
     assert!(
-        matches!(election.on_pre_vote_response(due, round, 5, true), ElectionStep::WaitUntil(_)),
-        "twice"
+        matches!(election.on_pre_vote_response(now, round, 5, true), ElectionStep::WaitUntil(_)),
+        "second campaign in one round"
     );
 }
 
 #[test]
-fn a_leader_heard_in_between_calls_it_off() {
+fn a_heartbeat_cancels_the_pre_vote() {
     let mut election = Election::new(ELECTION_TIMEOUTS, 1, 0);
-    let (due, round) = silent(&mut election);
-    election.on_heartbeat(due);
-    assert!(election.hears_leader(due + 499) && !election.hears_leader(due + 500));
+    let (now, round) = start_pre_vote(&mut election);
+    election.on_heartbeat(now);
+    assert!(election.hears_leader(now + 499) && !election.hears_leader(now + 500));
     for from in 2..=5 {
         assert!(matches!(
-            election.on_pre_vote_response(due + 1, round, from, true),
+            election.on_pre_vote_response(now + 1, round, from, true),
             ElectionStep::WaitUntil(_)
         ));
     }
 }
 
 #[test]
-fn waits_after_a_draw_differ() {
-    let dues = (0..20).map(|seed| {
+fn timeouts_and_retry_delays_are_random() {
+    let times = (0..20).map(|seed| {
         let mut election = Election::new(ELECTION_TIMEOUTS, seed, 0);
-        let (due, _) = silent(&mut election);
-        let ElectionStep::WaitUntil(again) = election.step(due, 1, &BTreeSet::from([1, 2, 3])) else {
-            panic!("at once")
+        let (now, _) = start_pre_vote(&mut election);
+        let ElectionStep::WaitUntil(retry_at) = election.step(now, 1, &BTreeSet::from([1, 2, 3])) else {
+            panic!("no retry delay")
         };
-        assert!((200..=400).contains(&(again - due)));
-        (due, again)
+        assert!((200..=400).contains(&(retry_at - now)));
+        (now, retry_at)
     });
-    assert!(dues.collect::<BTreeSet<_>>().len() > 15);
+    assert!(times.collect::<BTreeSet<_>>().len() > 15);
 }
 
 #[test]
-fn a_campaign_waits_until_the_last_vote_is_synced() {
+fn the_next_campaign_waits_until_the_last_vote_is_synced() {
     let voters = BTreeSet::from([1]);
     let mut election = Election::new(ELECTION_TIMEOUTS, 1, 0);
-    let ElectionStep::WaitUntil(due) = election.step(0, 1, &voters) else { panic!("at once") };
-    assert_eq!(election.step(due, 1, &voters), ElectionStep::Campaign);
-    // The disk takes longer than any retry; the owner reports the vote as unsynced all the while.
-    let synced = due + 10 * ELECTION_TIMEOUTS.retry_ms;
-    for _ in (due..synced).step_by(50) {
+    let ElectionStep::WaitUntil(timeout_at) = election.step(0, 1, &voters) else {
+        panic!("no wait for the leader timeout")
+    };
+    assert_eq!(election.step(timeout_at, 1, &voters), ElectionStep::Campaign);
+    // The sync takes longer than any retry delay; the caller reports the vote as unsynced until then.
+    let synced_at = timeout_at + 10 * ELECTION_TIMEOUTS.retry_ms;
+    for _ in (timeout_at..synced_at).step_by(50) {
         election.on_unsynced_vote();
     }
-    let ElectionStep::WaitUntil(again) = election.step(synced, 1, &voters) else {
-        panic!("right behind the sync")
+    let ElectionStep::WaitUntil(retry_at) = election.step(synced_at, 1, &voters) else {
+        panic!("no retry delay after the sync")
     };
-    assert!((200..=400).contains(&(again - synced)), "{again}");
-    assert_eq!(election.step(again - 1, 1, &voters), ElectionStep::WaitUntil(again));
-    assert_eq!(election.step(again, 1, &voters), ElectionStep::Campaign);
+    assert!((200..=400).contains(&(retry_at - synced_at)), "{retry_at}");
+    assert_eq!(election.step(retry_at - 1, 1, &voters), ElectionStep::WaitUntil(retry_at));
+    assert_eq!(election.step(retry_at, 1, &voters), ElectionStep::Campaign);
 }
 
 #[test]
-fn answers_do_not_count_while_a_vote_for_another_is_written() {
+fn pre_vote_responses_do_not_count_while_a_vote_is_unsynced() {
     let mut election = Election::new(ELECTION_TIMEOUTS, 1, 0);
-    let (due, round) = silent(&mut election);
+    let (now, round) = start_pre_vote(&mut election);
     election.on_unsynced_vote();
     for from in 2..=5 {
-        assert!(matches!(election.on_pre_vote_response(due, round, from, true), ElectionStep::WaitUntil(_)));
+        assert!(matches!(election.on_pre_vote_response(now, round, from, true), ElectionStep::WaitUntil(_)));
     }
 }
 
 #[test]
-fn a_synced_vote_brings_no_campaign_forward() {
+fn a_synced_vote_does_not_advance_the_next_election() {
     let voters = BTreeSet::from([1, 2, 3]);
     let mut election = Election::new(ELECTION_TIMEOUTS, 1, 0);
     election.on_heartbeat(1000);
-    let ElectionStep::WaitUntil(due) = election.step(1000, 1, &voters) else { panic!("beside a leader") };
+    let ElectionStep::WaitUntil(timeout_at) = election.step(1000, 1, &voters) else {
+        panic!("an election right after a heartbeat")
+    };
     election.on_unsynced_vote();
-    assert_eq!(election.step(1001, 1, &voters), ElectionStep::WaitUntil(due));
+    assert_eq!(election.step(1001, 1, &voters), ElectionStep::WaitUntil(timeout_at));
 }
--- a/crates/replication/tests/follow.rs
+++ b/crates/replication/tests/follow.rs
@@ -1,4 +1,4 @@
-//! One follower and the followers of one head, step by step.
+//! A follower's choice and rejection of upstreams, and a head's admission of followers.
 
 use sedgerun_replication::follow::{
     Admission, Downstream, FOLLOWER_TIMEOUT_MS, Follower, FollowerStep, Followers, MAX_FOLLOWERS,
@@ -23,14 +23,15 @@
     })
 }
 
-fn banned(version: u64) -> View {
+/// A view at this version with one ban.
+fn view_with_ban(version: u64) -> View {
     let mut view = View::default();
     view.put(VersionedObject { version, key: ObjectKey::Backend("b".into()), object: Some(Object::Ban) });
     view
 }
 
-/// Polls as soon as the follower does.
-fn polled(follower: &mut Follower, now: &mut u64, view: &View) -> UpstreamPoll {
+/// Advances the time to the follower's next poll and returns it.
+fn next_poll(follower: &mut Follower, now: &mut u64, view: &View) -> UpstreamPoll {
     loop {
         match follower.next_step(*now, view, false) {
             FollowerStep::WaitUntil(until) => *now = until.max(*now + 1),
@@ -39,47 +40,47 @@
     }
 }
 
-fn polling(downstream: Downstream, subtree: Option<Vec<Downstream>>) -> PollingFollower {
+fn polling_follower(downstream: Downstream, subtree: Option<Vec<Downstream>>) -> PollingFollower {
     let summary = subtree.map(SubtreeSummary::from_followers);
     PollingFollower { downstream, role: FollowerRole::Head, bypass_relays: false, summary }
 }
 
 #[test]
-fn a_ring_an_old_upstream_and_one_that_is_behind_are_left() {
+fn a_follower_rejects_upstreams_in_a_cycle_stale_or_behind() {
     let mut follower = Follower::new("f1", vec![peer("k1"), peer("f1")], 1);
     let mut view = View::default();
     let mut now = 1000;
-    let poll = polled(&mut follower, &mut now, &view);
+    let poll = next_poll(&mut follower, &mut now, &view);
     assert_eq!((now, poll.peer, poll.since, poll.first_version), (1000, peer("k1"), 0, 0));
-    assert_eq!(follower.on_response(1000, &mut view, update(&banned(3), 0, &["k1"], 10)), Ok(true));
+    assert_eq!(follower.on_response(1000, &mut view, update(&view_with_ban(3), 0, &["k1"], 10)), Ok(true));
     assert_eq!((view.version, follower.age(1050)), (3, Some(60)));
     assert_eq!(follower.path(), ["k1", "f1"]);
     assert!(matches!(follower.next_step(1060, &view, false), FollowerStep::Poll(_)));
-    let ring = follower.on_response(1060, &mut view, update(&banned(9), 0, &["k1", "f1", "f2"], 10));
-    assert_eq!(ring, Err(Rejection::Cycle));
+    let result = follower.on_response(1060, &mut view, update(&view_with_ban(9), 0, &["k1", "f1", "f2"], 10));
+    assert_eq!(result, Err(Rejection::Cycle));
     assert!(
         matches!(follower.next_step(1060, &view, false), FollowerStep::WaitUntil(_)),
-        "it tries again at once"
+        "no backoff after a failure"
     );
     now = 1070;
-    polled(&mut follower, &mut now, &view);
+    next_poll(&mut follower, &mut now, &view);
     assert_eq!(
-        follower.on_response(now, &mut view, update(&banned(2), 0, &["k2"], 10)),
+        follower.on_response(now, &mut view, update(&view_with_ban(2), 0, &["k2"], 10)),
         Err(Rejection::Behind)
     );
-    polled(&mut follower, &mut now, &view);
-    let old = update(&View::default(), 0, &["f7"], MAX_UPDATE_AGE_MS + 1);
-    assert_eq!(follower.on_response(now, &mut view, old), Err(Rejection::Stale));
+    next_poll(&mut follower, &mut now, &view);
+    let stale = update(&View::default(), 0, &["f7"], MAX_UPDATE_AGE_MS + 1);
+    assert_eq!(follower.on_response(now, &mut view, stale), Err(Rejection::Stale));
     assert_eq!(view.version, 3);
-    // News is news, however old: it is taken, and another upstream looked for.
-    polled(&mut follower, &mut now, &view);
-    let old_news = update(&banned(4), 3, &["f7"], MAX_UPDATE_AGE_MS + 1);
-    assert_eq!(follower.on_response(now, &mut view, old_news), Err(Rejection::Stale));
+    // A stale update with a newer version is applied, but the follower looks for another upstream.
+    next_poll(&mut follower, &mut now, &view);
+    let stale_but_newer = update(&view_with_ban(4), 3, &["f7"], MAX_UPDATE_AGE_MS + 1);
+    assert_eq!(follower.on_response(now, &mut view, stale_but_newer), Err(Rejection::Stale));
     assert_eq!((view.version, follower.age(now)), (4, Some(now - 990)));
 }
 
 #[test]
-fn a_full_head_redirects_to_its_followers() {
+fn a_full_head_redirects_to_its_followers_until_they_time_out() {
     let mut followers = Followers::default();
     let downstream = |i: u64| Downstream {
         peer: peer(&format!("f{i}")),
@@ -89,30 +90,36 @@
         incarnation: 1,
     };
     for i in 0..MAX_FOLLOWERS as u64 {
-        assert_eq!(followers.admit(0, polling(downstream(i), None), false), Admission::Admitted);
+        assert_eq!(followers.admit(0, polling_follower(downstream(i), None), false), Admission::Admitted);
     }
-    let again = polling(downstream(3), Some(vec![downstream(100)]));
-    assert_eq!(followers.admit(1, again, false), Admission::Admitted, "it asks again");
-    assert_eq!(followers.admit(1, polling(downstream(99), None), false), Admission::Full);
+    let repeated_poll = polling_follower(downstream(3), Some(vec![downstream(100)]));
+    assert_eq!(
+        followers.admit(1, repeated_poll, false),
+        Admission::Admitted,
+        "a known follower is always admitted"
+    );
+    assert_eq!(followers.admit(1, polling_follower(downstream(99), None), false), Admission::Full);
     assert_eq!(followers.subtree(1).len(), MAX_FOLLOWERS + 1);
     assert_eq!(followers.summary(1).heads as usize, MAX_FOLLOWERS + 1);
     let mut follower = Follower::new("f99", vec![peer("k1")], 1);
     let mut view = View::default();
     let mut now = 1;
-    polled(&mut follower, &mut now, &view);
+    next_poll(&mut follower, &mut now, &view);
     let redirect = Redirect { directory: None, peers: followers.peers() };
     let rejected = follower.on_response(now, &mut view, SubscribeResponse::Redirect(redirect));
     assert_eq!(rejected, Err(Rejection::Redirected));
-    let FollowerStep::WaitUntil(mut due) = follower.next_step(now, &view, false) else { panic!("at once") };
-    let poll = polled(&mut follower, &mut due, &view);
+    let FollowerStep::WaitUntil(mut next_at) = follower.next_step(now, &view, false) else {
+        panic!("no backoff after the redirect")
+    };
+    let poll = next_poll(&mut follower, &mut next_at, &view);
     assert!(poll.peer.head.starts_with('f') && (poll.since, poll.first_version) == (0, 0));
     let late = FOLLOWER_TIMEOUT_MS + 1;
-    let admission = followers.admit(late, polling(downstream(99), None), false);
-    assert_eq!(admission, Admission::Admitted, "the others are gone");
-    let twin = Downstream { store: 98, ..downstream(99) };
-    let admission = followers.admit(late + 1, polling(twin.clone(), None), false);
+    let admission = followers.admit(late, polling_follower(downstream(99), None), false);
+    assert_eq!(admission, Admission::Admitted, "the others have timed out");
+    let same_name = Downstream { store: 98, ..downstream(99) };
+    let admission = followers.admit(late + 1, polling_follower(same_name.clone(), None), false);
     assert_eq!(admission, Admission::DuplicateName);
     assert_eq!(followers.subtree(late + 1).len(), 1);
-    let admission = followers.admit(late + FOLLOWER_TIMEOUT_MS + 1, polling(twin, None), false);
-    assert_eq!(admission, Admission::Admitted, "the first is gone");
+    let admission = followers.admit(late + FOLLOWER_TIMEOUT_MS + 1, polling_follower(same_name, None), false);
+    assert_eq!(admission, Admission::Admitted, "the first one has timed out");
 }
--- a/crates/replication/tests/frozen_formats.rs
+++ b/crates/replication/tests/frozen_formats.rs
@@ -1,10 +1,10 @@
-//! What heads send each other and what they store, frozen byte for byte.
+//! The encodings of messages between heads and of stored data, which must stay the same byte for byte.
 //!
-//! Heads of neighbouring versions share one fleet, and a later program opens the stores and backups of an
-//! earlier one. The encoding names no field and no type, so a renaming must leave every byte as it is; a
-//! field or a variant that moves would be read as another. Each value here is encoded and compared with its
-//! line in `recorded/formats.txt`, and the line is decoded and compared with the value. The file is never
-//! written by a test: where a format changes on purpose, the failure shows the new line.
+//! Heads of adjacent versions run in one cluster, and a later version opens the stores and backups of an earlier one.
+//! The encoding contains no names of fields or types: a rename must not change any byte, and a field or variant that is
+//! moved would be decoded as another. Each value is encoded and compared with its line in `recorded/formats.txt`, and
+//! the line is decoded and compared with the value. No test writes the file; if a format is changed intentionally, the
+//! failure shows the new line.
 
 mod recorded;
 
@@ -29,7 +29,7 @@
 use std::fmt::Debug;
 
 const RECORDED: &str = include_str!("recorded/formats.txt");
-/// Sections of the file: what stands before the first dot of a line.
+/// Sections of the file: the part of a line before the first dot.
 const SECTIONS: [&str; 10] =
     ["command", "change", "outcome", "view", "state", "greeting", "peer", "relay", "subscribe", "record"];
 const STORE: u64 = 0x0123_4567_89ab_cdef;
@@ -39,7 +39,7 @@
     Section::open(RECORDED, name)
 }
 
-/// A value is written as recorded, and what is recorded is read as the value.
+/// Checks that a value is encoded as recorded, and that the recorded bytes are decoded as the value.
 fn check<T>(section: &mut Section, name: &str, value: &T)
 where
     T: Serialize + DeserializeOwned + PartialEq + Debug,
@@ -51,7 +51,7 @@
     }
 }
 
-/// The same for a whole record.
+/// Checks the same for a complete record with its header.
 fn check_record<T>(section: &mut Section, name: &str, record_type: RecordType, value: &T)
 where
     T: Serialize + DeserializeOwned + PartialEq + Debug,
@@ -62,7 +62,7 @@
     }
 }
 
-/// A number that heads compare with each other.
+/// Checks a number that heads compute separately and compare with each other.
 fn check_number(section: &mut Section, name: &str, number: u64) {
     section.compare(name, &number.to_be_bytes());
 }
@@ -103,11 +103,11 @@
     Chunk { objects: objects(), up_to: 304, version: 70_000, restart: true }
 }
 
-/// What a follower holds that has begun anew, so that every field of the view is filled.
+/// The view of a follower after a transfer of everything, which sets every field.
 fn view() -> View {
     let mut view = View::default();
-    let whole = Chunk { version: 304, ..chunk() };
-    assert_eq!(Transfer::default().accept(&mut view, whole), Ok(true));
+    let complete = Chunk { version: 304, ..chunk() };
+    assert_eq!(Transfer::default().accept(&mut view, complete), Ok(true));
     view
 }
 
@@ -187,7 +187,7 @@
 }
 
 #[test]
-fn every_command_keeps_its_bytes() {
+fn commands_keep_their_encoding() {
     let mut lines = section("command");
     let (tenant, export) = ("horvat".to_owned(), "press".to_owned());
     check(&mut lines, "put_tenant", &Command::PutTenant { tenant: tenant.clone(), exports: exports() });
@@ -206,7 +206,7 @@
 }
 
 #[test]
-fn every_change_and_its_outcome_keep_their_bytes() {
+fn changes_and_outcomes_keep_their_encoding() {
     let mut lines = section("change");
     check(&mut lines, "expecting", &change("line 0123", Some(70_000), put_export()));
     check(&mut lines, "of_any_version", &change("line 0123", None, Command::SetVoters(3)));
@@ -226,7 +226,7 @@
 }
 
 #[test]
-fn every_part_of_the_view_keeps_its_bytes() {
+fn the_view_and_its_parts_keep_their_encoding() {
     let mut lines = section("view");
     check(&mut lines, "tenant", &Tenant { version: 300, exports: exports() });
     check(&mut lines, "rules", &rules());
@@ -246,7 +246,7 @@
 }
 
 #[test]
-fn the_state_of_a_voter_keeps_its_bytes() {
+fn the_replicated_state_keeps_its_encoding() {
     let mut state = ReplicatedState::default();
     let changes = [
         change("k2", None, Command::PutTenant { tenant: "horvat".into(), exports: exports() }),
@@ -269,22 +269,22 @@
 }
 
 #[test]
-fn greetings_refusals_and_watermarks_keep_their_bytes() {
+fn greetings_handshake_errors_and_watermarks_keep_their_encoding() {
     let mut lines = section("greeting");
     let of_command_line = Greeting { store: None, zone: None, origin: None, ..greeting() };
     check(&mut lines, "of_head", &greeting());
     check(&mut lines, "of_command_line", &of_command_line);
     check(&mut lines, "answer", &Ok::<Greeting, HandshakeError>(greeting()));
-    let refusals = [
+    let errors = [
         ("fleet", HandshakeError::OtherCluster),
         ("secret", HandshakeError::WrongSecret),
         ("origin", HandshakeError::OtherOrigin),
         ("name", HandshakeError::DuplicateName),
         ("rolled_back", HandshakeError::RolledBack),
     ];
-    for (name, refusal) in refusals {
-        check(&mut lines, &format!("refusal_{name}"), &refusal);
-        check(&mut lines, &format!("answer_refused_{name}"), &Err::<Greeting, HandshakeError>(refusal));
+    for (name, error) in errors {
+        check(&mut lines, &format!("refusal_{name}"), &error);
+        check(&mut lines, &format!("answer_refused_{name}"), &Err::<Greeting, HandshakeError>(error));
     }
     check(&mut lines, "incarnation", &Incarnation { count: 300, nonce: OTHER_STORE });
     check(&mut lines, "watermark", &Watermark { vote_term: 17, last_entry: (16, 90_000) });
@@ -300,7 +300,7 @@
 }
 
 #[test]
-fn peers_and_voters_keep_their_bytes() {
+fn peers_and_voters_keep_their_encoding() {
     let mut lines = section("peer");
     check(&mut lines, "peer", &peer("n0"));
     check(&mut lines, "downstream", &downstream());
@@ -310,7 +310,7 @@
 }
 
 #[test]
-fn relays_and_their_directory_keep_their_bytes() {
+fn relays_and_their_directory_keep_their_encoding() {
     let mut lines = section("relay");
     check(&mut lines, "role_head", &FollowerRole::Head);
     check(&mut lines, "role_relay", &FollowerRole::Relay);
@@ -322,7 +322,7 @@
 }
 
 #[test]
-fn every_message_of_a_subscription_keeps_its_bytes() {
+fn subscription_messages_and_digests_keep_their_encoding() {
     let mut lines = section("subscribe");
     let subscription = Subscription {
         role: FollowerRole::Relay,
@@ -357,7 +357,7 @@
         &LegacyUpdateResponse::Chunk { chunk: chunk(), path, age: 1500, leader, voters },
     );
     check(&mut lines, "legacy_full", &LegacyUpdateResponse::Full { redirect: redirect().peers });
-    // Compared between heads: one that computed another would be sent the whole again with each poll.
+    // Heads compare digests: a head that computed another one would be sent the whole part again with each poll.
     check_number(&mut lines, "digest_of_route", u64::from(digest_of(&route())));
     check_number(&mut lines, "digest_of_directory", u64::from(directory().digest()));
     check_number(&mut lines, "digest_of_empty_directory", u64::from(RelayDirectory::default().digest()));
@@ -366,7 +366,7 @@
 }
 
 #[test]
-fn every_type_of_record_keeps_its_header_and_checksum() {
+fn records_of_every_type_keep_their_header_and_checksum() {
     let mut lines = section("record");
     let types = [
         ("identity", RecordType::Identity),
@@ -398,6 +398,6 @@
 }
 
 #[test]
-fn every_recorded_line_is_in_a_section_that_is_compared() {
+fn every_recorded_line_belongs_to_a_compared_section() {
     assert_sections(RECORDED, &SECTIONS);
 }
--- a/crates/replication/tests/recorded/mod.rs
+++ b/crates/replication/tests/recorded/mod.rs
@@ -1,4 +1,5 @@
-//! Recorded bytes: lines `section.name hexbytes` of a text file, which tests compare and never write.
+//! Recorded encodings: a text file with lines of the form `section.name hexbytes`. Tests compare values with it and never
+//! write it.
 
 use std::collections::BTreeMap;
 
@@ -7,13 +8,13 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// The bytes that hexadecimal digits stand for.
+/// Decodes hexadecimal digits.
 pub fn unhex(text: &str) -> Vec<u8> {
     let byte = |at: usize| u8::from_str_radix(&text[at..at + 2], 16).expect("two hexadecimal digits");
     (0..text.len()).step_by(2).map(byte).collect()
 }
 
-/// The recorded lines of one section, and what does not agree with them.
+/// The recorded lines of one section that are not yet compared, and the mismatches found so far.
 pub struct Section {
     name: &'static str,
     lines: BTreeMap<&'static str, &'static str>,
@@ -21,14 +22,15 @@
 }
 
 impl Section {
-    /// The section of this name in a recorded text.
+    /// The section with this name in a recorded text.
     pub fn open(text: &'static str, name: &'static str) -> Section {
         let lines = text.lines().filter_map(|line| line.split_once(' '));
         let lines = lines.filter(|(key, _)| key.split('.').next() == Some(name)).collect();
         Section { name, lines, mismatches: Vec::new() }
     }
 
-    /// Compares bytes with the line of this name, which is used up; the recorded bytes, where there are any.
+    /// Compares bytes with the recorded line of this name and removes the line. Returns the recorded bytes, if there are
+    /// any.
     pub fn compare(&mut self, name: &str, written: &[u8]) -> Option<Vec<u8>> {
         let key = format!("{}.{name}", self.name);
         let recorded = self.lines.remove(key.as_str()).map(unhex);
@@ -38,15 +40,15 @@
         recorded
     }
 
-    /// Fails where anything was not as recorded, or a recorded line was not compared.
+    /// Fails if any value differed from its line, or if a recorded line was not compared.
     pub fn close(self) {
         let written = self.mismatches.join("\n");
-        assert!(written.is_empty(), "not as recorded; written now:\n{written}");
-        assert!(self.lines.is_empty(), "recorded, and written no more: {:?}", self.lines.keys());
+        assert!(written.is_empty(), "encodings differ from the recorded ones; now encoded as:\n{written}");
+        assert!(self.lines.is_empty(), "recorded lines without a value: {:?}", self.lines.keys());
     }
 }
 
-/// Fails where a line is in none of these sections, or in a section twice.
+/// Fails if a line belongs to none of these sections, or is recorded twice.
 pub fn assert_sections(text: &str, sections: &[&str]) {
     let mut keys = Vec::new();
     for line in text.lines() {
--- a/crates/replication/tests/repair.rs
+++ b/crates/replication/tests/repair.rs
@@ -1,4 +1,4 @@
-//! Repair of the voter group: replacement, operators, and that a majority stays.
+//! Repair of the voter group: replacement of voters, the operators' rules, and that a majority stays reachable.
 
 use proptest::prelude::*;
 use sedgerun_replication::repair::{
@@ -18,38 +18,38 @@
 }
 
 #[test]
-fn a_dead_voter_is_replaced_in_a_zone_that_fits_and_a_late_one_is_not() {
+fn a_dead_voter_is_replaced_from_the_best_zone_and_an_unreachable_one_is_not() {
     let rules = VoterRules::default();
     let candidates = [candidate(10, "h10", 0), candidate(11, "h11", 1), candidate(12, "h12", 2)];
     let mut members = vec![member(1, 0), member(2, 0), member(3, DEFAULT_DEAD_AFTER_MS - 1)];
-    assert_eq!(next_step(&rules, &members, &candidates, 1), None, "it may come back");
+    assert_eq!(next_step(&rules, &members, &candidates, 1), None, "an unreachable voter may come back");
     members[2].ms_since_response = DEFAULT_DEAD_AFTER_MS;
     assert_eq!(
         next_step(&rules, &members, &candidates, 1),
         Some(RepairStep::AddLearner(candidates[0].clone())),
-        "zone 0 has none left"
+        "zone 0 has no other voter"
     );
     members.push(GroupMember { votes: false, lag: Some(500), ..member(10, 0) });
-    assert_eq!(next_step(&rules, &members, &candidates, 1), None, "it is not up to date");
+    assert_eq!(next_step(&rules, &members, &candidates, 1), None, "the learner has not caught up");
     members[3].lag = Some(3);
     assert_eq!(next_step(&rules, &members, &candidates, 1), Some(RepairStep::Replace(3, 10)));
     members[3].ms_since_response = DEFAULT_DEAD_AFTER_MS;
     assert_eq!(
         next_step(&rules, &members, &candidates, 1),
         Some(RepairStep::Remove(10)),
-        "the newcomer is lost itself"
+        "the learner is dead itself"
     );
     members[3].ms_since_response = 0;
     members[2].ms_since_response = 0;
     assert_eq!(
         next_step(&rules, &members, &candidates, 1),
         Some(RepairStep::Remove(10)),
-        "the lost one came back"
+        "the voter responds again"
     );
 }
 
 #[test]
-fn a_wiped_machine_takes_its_own_place_at_once() {
+fn a_head_with_a_wiped_disk_replaces_its_old_store_at_once() {
     let members = [member(1, 0), member(2, 0), member(3, UNREACHABLE_AFTER_MS)];
     let candidates = [candidate(11, "h11", 0), candidate(12, "h3", 0)];
     assert_eq!(
@@ -59,10 +59,10 @@
     assert_eq!(
         next_step(&VoterRules::default(), &members, &candidates[..1], 1),
         None,
-        "silent, and no more than that"
+        "unreachable, but not yet dead"
     );
-    let newcomer = GroupMember { head: "h3".into(), votes: false, ..member(12, 0) };
-    let members = [&members[..], &[newcomer]].concat();
+    let learner = GroupMember { head: "h3".into(), votes: false, ..member(12, 0) };
+    let members = [&members[..], &[learner]].concat();
     assert_eq!(
         next_step(&VoterRules::default(), &members, &candidates[..1], 1),
         Some(RepairStep::Replace(3, 12))
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn operators_words_are_followed_and_the_leader_goes_last() {
+fn the_operators_rules_are_followed_and_the_leader_is_replaced_last() {
     let members = [member(1, 0), member(2, 0), member(3, 0)];
     let candidates = [candidate(10, "h10", 0)];
     let barred_heads = BTreeSet::from(["h1".to_owned(), "h2".to_owned()]);
@@ -79,38 +79,38 @@
         next_step(&rules, &members, &candidates, 1),
         Some(RepairStep::AddLearner(candidates[0].clone()))
     );
-    let mut more = members.to_vec();
-    more.push(GroupMember { votes: false, ..member(10, 0) });
-    assert_eq!(next_step(&rules, &more, &candidates, 1), Some(RepairStep::Replace(2, 10)));
-    let none = VoterRules { barred_heads: BTreeSet::from(["h10".to_owned()]), ..rules };
-    assert_eq!(next_step(&none, &members, &candidates, 1), None, "nobody may take the place");
-    let more = VoterRules { voters: 5, ..VoterRules::default() };
+    let mut with_learner = members.to_vec();
+    with_learner.push(GroupMember { votes: false, ..member(10, 0) });
+    assert_eq!(next_step(&rules, &with_learner, &candidates, 1), Some(RepairStep::Replace(2, 10)));
+    let no_candidate = VoterRules { barred_heads: BTreeSet::from(["h10".to_owned()]), ..rules };
+    assert_eq!(next_step(&no_candidate, &members, &candidates, 1), None, "the only candidate is barred");
+    let five_voters = VoterRules { voters: 5, ..VoterRules::default() };
     assert_eq!(
-        next_step(&more, &members, &candidates, 1),
+        next_step(&five_voters, &members, &candidates, 1),
         Some(RepairStep::AddLearner(candidates[0].clone()))
     );
-    let fewer = VoterRules { voters: 1, ..VoterRules::default() };
-    assert!(matches!(next_step(&fewer, &members, &candidates, 1), Some(RepairStep::Remove(2 | 3))));
+    let one_voter = VoterRules { voters: 1, ..VoterRules::default() };
+    assert!(matches!(next_step(&one_voter, &members, &candidates, 1), Some(RepairStep::Remove(2 | 3))));
 }
 
 proptest! {
-    /// Whatever the leader sees: a majority of the voters after a step is reachable.
+    /// For any group that the leader may see, a majority of the voters is reachable after the step.
     #[test]
-    fn no_step_leaves_a_majority_that_is_not_there(
+    fn every_step_leaves_a_reachable_majority(
         ms_since_response in prop::collection::vec(prop_oneof![Just(0u64), Just(UNREACHABLE_AFTER_MS), Just(DEFAULT_DEAD_AFTER_MS)], 2..8),
-        newcomer in prop::option::of((any::<bool>(), 0u64..200)),
-        candidate_count in 0u64..3, wanted in 0u8..8, bad in 0u64..8, up in any::<bool>(),
+        learner in prop::option::of((any::<bool>(), 0u64..200)),
+        candidate_count in 0u64..3, wanted_voters in 0u8..8, barred_head in 0u64..8, sets_voters in any::<bool>(),
     ) {
         let mut members: Vec<GroupMember> = (1..).zip(&ms_since_response).map(|(s, ms_since_response)| member(s, *ms_since_response)).collect();
         members[0].ms_since_response = 0;
-        if let Some((is_reachable, lag)) = newcomer {
+        if let Some((is_reachable, lag)) = learner {
             let ms_since_response = if is_reachable { 0 } else { UNREACHABLE_AFTER_MS };
             members.push(GroupMember { votes: false, lag: Some(lag), ..member(50, ms_since_response) });
         }
         let candidates: Vec<VoterCandidate> = (0..candidate_count).map(|i| candidate(60 + i, &format!("h{}", 2 + i), i)).collect();
         let rules = VoterRules {
-            voters: if up { wanted } else { 0 },
-            barred_heads: BTreeSet::from([format!("h{bad}")]),
+            voters: if sets_voters { wanted_voters } else { 0 },
+            barred_heads: BTreeSet::from([format!("h{barred_head}")]),
             ..VoterRules::default()
         };
         let mut after: Vec<GroupMember> = members.clone();
