--- a/crates/replication/tests/election.rs
+++ b/crates/replication/tests/election.rs
@@ -6,7 +6,8 @@
 const ELECTION_TIMEOUTS: ElectionTimeouts =
     ElectionTimeouts { leader_timeout_ms: 500, jitter_ms: 300, retry_ms: 400 };
 
-/// Lets the leader timeout of voter 1 of 5 pass without a heartbeat. Returns the time and the round of the pre-vote.
+/// Lets the leader timeout of voter 1 of 5 pass without a heartbeat. Returns the time and the round of the
+/// pre-vote.
 fn start_pre_vote(election: &mut Election) -> (Millis, u64) {
     let voters = BTreeSet::from([1, 2, 3, 4, 5]);
     let ElectionStep::WaitUntil(timeout_at) = election.step(0, 1, &voters) else {
@@ -24,8 +25,8 @@
     let mut election = Election::new(ELECTION_TIMEOUTS, 1, 0);
     let (now, round) = start_pre_vote(&mut election);
     assert!((500..=800).contains(&now));
-    // Two of the other four voters complete a majority of five. A voter with a leader, a head that is not a voter and a
-    // repeated response do not count.
+    // Two of the other four voters complete a majority of five. A voter with a leader, a head that is not a
+    // voter and a repeated response do not count.
     for (from, has_no_leader) in [(2, false), (9, true), (3, true), (3, true)] {
         assert!(
             matches!(
--- a/crates/replication/tests/frozen_formats.rs
+++ b/crates/replication/tests/frozen_formats.rs
@@ -1,10 +1,9 @@
 //! The encodings of messages between heads and of stored data, which must stay the same byte for byte.
 //!
-//! Heads of adjacent versions run in one cluster, and a later version opens the stores and backups of an earlier one.
-//! The encoding contains no names of fields or types: a rename must not change any byte, and a field or variant that is
-//! moved would be decoded as another. Each value is encoded and compared with its line in `recorded/formats.txt`, and
-//! the line is decoded and compared with the value. No test writes the file; if a format is changed intentionally, the
-//! failure shows the new line.
+//! Heads of adjacent versions run in one cluster, and a later version opens the stores and backups of an
+//! earlier one. The encoding has no names, so renames are safe, but a moved field or variant is decoded as
+//! another. Each value is compared with its line in `recorded/formats.txt` in both directions. No test writes
+//! the file; after an intentional change of a format, the failure shows the new line.
 
 mod recorded;
 
@@ -40,10 +39,7 @@
 }
 
 /// Checks that a value is encoded as recorded, and that the recorded bytes are decoded as the value.
-fn check<T>(section: &mut Section, name: &str, value: &T)
-where
-    T: Serialize + DeserializeOwned + PartialEq + Debug,
-{
+fn check<T: Serialize + DeserializeOwned + PartialEq + Debug>(section: &mut Section, name: &str, value: &T) {
     let written = postcard::to_extend(value, Vec::new()).expect("an encoding");
     if let Some(recorded) = section.compare(name, &written) {
         let (read, rest) = postcard::take_from_bytes::<T>(&recorded).expect("a value");
@@ -271,9 +267,8 @@
 #[test]
 fn greetings_handshake_errors_and_watermarks_keep_their_encoding() {
     let mut lines = section("greeting");
-    let of_command_line = Greeting { store: None, zone: None, origin: None, ..greeting() };
     check(&mut lines, "of_head", &greeting());
-    check(&mut lines, "of_command_line", &of_command_line);
+    check(&mut lines, "of_command_line", &Greeting { store: None, zone: None, origin: None, ..greeting() });
     check(&mut lines, "answer", &Ok::<Greeting, HandshakeError>(greeting()));
     let errors = [
         ("fleet", HandshakeError::OtherCluster),
@@ -357,7 +352,8 @@
         &LegacyUpdateResponse::Chunk { chunk: chunk(), path, age: 1500, leader, voters },
     );
     check(&mut lines, "legacy_full", &LegacyUpdateResponse::Full { redirect: redirect().peers });
-    // Heads compare digests: a head that computed another one would be sent the whole part again with each poll.
+    // Heads compare digests: a head that computed another one would be sent the whole part again with each
+    // poll.
     check_number(&mut lines, "digest_of_route", u64::from(digest_of(&route())));
     check_number(&mut lines, "digest_of_directory", u64::from(directory().digest()));
     check_number(&mut lines, "digest_of_empty_directory", u64::from(RelayDirectory::default().digest()));
--- a/crates/replication/tests/recorded/mod.rs
+++ b/crates/replication/tests/recorded/mod.rs
@@ -1,5 +1,5 @@
-//! Recorded encodings: a text file with lines of the form `section.name hexbytes`. Tests compare values with it and never
-//! write it.
+//! Recorded encodings: a text file with lines of the form `section.name hexbytes`. Tests compare values with
+//! it and never write it.
 
 use std::collections::BTreeMap;
 
@@ -29,8 +29,8 @@
         Section { name, lines, mismatches: Vec::new() }
     }
 
-    /// Compares bytes with the recorded line of this name and removes the line. Returns the recorded bytes, if there are
-    /// any.
+    /// Compares bytes with the recorded line of this name and removes the line. Returns the recorded bytes,
+    /// if there are any.
     pub fn compare(&mut self, name: &str, written: &[u8]) -> Option<Vec<u8>> {
         let key = format!("{}.{name}", self.name);
         let recorded = self.lines.remove(key.as_str()).map(unhex);
--- a/crates/replication/tests/relay.rs
+++ b/crates/replication/tests/relay.rs
@@ -1,4 +1,4 @@
-//! Relays: selection, leases, message sizes, and whole fleets under sequences of deaths, cuts and returns.
+//! Relays: selection, leases, message sizes, and simulated clusters with crashes, partitions and restarts.
 
 mod simulator;
 
@@ -14,7 +14,7 @@
 use sedgerun_replication::transfer_permits::{MAX_TRANSFERS, TransferPermits};
 use sedgerun_replication::upstream::UpdateSource;
 use sedgerun_replication::view::View;
-use simulator::{Event, Fleet, Layout};
+use simulator::{Event, Layout, SimulatedCluster};
 use std::collections::{BTreeMap, BTreeSet};
 
 fn peer(head: &str) -> Peer {
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn heads_spread_evenly_over_the_relays_of_their_region_and_over_the_rest_when_one_dies() {
+fn heads_spread_evenly_over_the_relays_of_their_region_also_after_one_fails() {
     let relays = (0..24).map(|i| relay(&format!("relay{i}"), if i < 12 { "r1" } else { "r2" }, i));
     let relays: Vec<Relay> = relays.collect();
     for live in [relays.clone(), relays[1..].to_vec()] {
@@ -64,7 +64,7 @@
         assert!(most * 10 <= 500 * 13, "{chosen:?}");
         assert!(chosen.keys().all(|name| live.iter().any(|relay| relay.peer.head == *name)));
     }
-    // Those that had another relay stay with it.
+    // Heads of the remaining relays keep their first choice.
     let (before, after) = (RelayDirectory::new(relays.clone()), RelayDirectory::new(relays[1..].to_vec()));
     for head in 0..1000 {
         let head = format!("host-{head}");
@@ -86,9 +86,9 @@
         for (elapsed, name, store) in steps {
             now += elapsed;
             let name = format!("relay{name}");
-            let held = granted.get(&name).copied().filter(|(_, at)| now < at + LEASE_MS);
+            let live_lease = granted.get(&name).copied().filter(|(_, at)| now < at + LEASE_MS);
             let registered = registry.register(now, status(&name, store));
-            match held {
+            match live_lease {
                 Some((holder, _)) if holder != store => {
                     prop_assert_eq!(registered, Err(RegistrationError::DuplicateName));
                 }
@@ -107,9 +107,9 @@
         }
     }
 
-    /// Whatever hangs on a head, its poll and the answer to it stay small.
+    /// The size of a poll and of its response has a limit that does not depend on the size of the subtree.
     #[test]
-    fn messages_are_bounded_whatever_the_subtree(heads in 0u64..20_000, relays in 0u64..200) {
+    fn message_sizes_are_bounded_for_any_subtree(heads in 0u64..20_000, relays in 0u64..200) {
         let mut sample = SubtreeSummary::from_followers((0..heads.min(700)).map(downstream).collect());
         sample.heads = heads as u32;
         prop_assert!(sample.sample.len() <= MAX_SAMPLE);
@@ -137,58 +137,59 @@
         prop_assert!(size(postcard::to_stdvec(&subscription)) < 1600);
         let first = source.update(&View::default(), &subscription, 1 << 18);
         let Update { route: Some(route), directory: Some(sent), .. } = &first else {
-            return Err(TestCaseError::fail("the first answer has the route and the directory"));
+            return Err(TestCaseError::fail("the first response lacks the route or the directory"));
         };
         prop_assert!(size(postcard::to_stdvec(&SubscribeResponse::Update(first.clone()))) < 6000);
-        // From then on neither goes with an idle poll or its answer.
+        // Once they are cached, a poll without changes carries neither of them, and nor does its response.
         subscription.cached = CachedDigests { route: sedgerun_replication::digest::digest_of(route), directory: sent.digest() };
         subscription.summary = None;
         prop_assert!(size(postcard::to_stdvec(&subscription)) <= 40);
-        let idle = source.update(&View::default(), &subscription, 1 << 18);
-        prop_assert!(size(postcard::to_stdvec(&SubscribeResponse::Update(idle))) <= 16);
+        let unchanged = source.update(&View::default(), &subscription, 1 << 18);
+        prop_assert!(size(postcard::to_stdvec(&SubscribeResponse::Update(unchanged))) <= 16);
     }
 
     #[test]
-    fn large_transfers_are_admitted_a_few_at_a_time_and_all_come_to_their_turn(
+    fn large_transfers_are_limited_and_every_follower_is_served(
         followers in 1usize..200, chunks in 1u64..6, seed in any::<u64>()
     ) {
         let mut permits = TransferPermits::new(seed);
-        let mut due: BTreeMap<u64, (u64, u64)> = (0..followers as u64).map(|store| (store, (0, chunks))).collect();
-        let (mut now, mut last) = (0, 0);
-        let mut open: BTreeMap<u64, u64> = BTreeMap::new();
-        while !due.is_empty() {
-            for store in due.keys().copied().collect::<Vec<u64>>() {
-                let (at, left) = due[&store];
-                if at > now {
+        // Time of the next request and number of chunks left, for each follower.
+        let mut waiting: BTreeMap<u64, (u64, u64)> = (0..followers as u64).map(|store| (store, (0, chunks))).collect();
+        let (mut now, mut last_grant_at) = (0, 0);
+        let mut permit_holders: BTreeMap<u64, u64> = BTreeMap::new();
+        while !waiting.is_empty() {
+            for store in waiting.keys().copied().collect::<Vec<u64>>() {
+                let (request_at, chunks_left) = waiting[&store];
+                if request_at > now {
                     continue;
                 }
                 match permits.acquire(now, store) {
-                    Err(wait) => {
-                        prop_assert!((200..=1000).contains(&wait));
-                        due.insert(store, (now + wait, left));
+                    Err(retry_after) => {
+                        prop_assert!((200..=1000).contains(&retry_after));
+                        waiting.insert(store, (now + retry_after, chunks_left));
                     }
                     Ok(()) => {
-                        open.insert(store, now);
-                        due.insert(store, (now + 20, left - 1));
-                        if left == 1 {
+                        permit_holders.insert(store, now);
+                        waiting.insert(store, (now + 20, chunks_left - 1));
+                        if chunks_left == 1 {
                             permits.release(store);
-                            open.remove(&store);
-                            due.remove(&store);
+                            permit_holders.remove(&store);
+                            waiting.remove(&store);
                         }
-                        last = now;
+                        last_grant_at = now;
                     }
                 }
             }
-            prop_assert!(open.len() <= MAX_TRANSFERS, "{} at once", open.len());
+            prop_assert!(permit_holders.len() <= MAX_TRANSFERS, "{} at once", permit_holders.len());
             now += 10;
-            prop_assert!(now < 600_000, "never served: {due:?}");
+            prop_assert!(now < 600_000, "never served: {waiting:?}");
         }
-        prop_assert!(last <= now);
+        prop_assert!(last_grant_at <= now);
     }
 }
 
 #[test]
-fn a_voter_that_has_just_started_says_nothing_of_the_relays() {
+fn a_new_voter_has_no_directory_until_all_relays_could_register() {
     let mut registry = RelayRegistry::default();
     assert_eq!(registry.directory(0), None);
     registry.set_voting(100, true);
@@ -201,16 +202,16 @@
 }
 
 #[test]
-fn a_summary_is_sent_when_it_changes_and_seldom_otherwise() {
+fn an_unchanged_summary_is_sent_less_often_than_a_changed_one() {
     let mut reporter = SummaryReporter::default();
     let one = SubtreeSummary::from_followers(vec![downstream(1)]);
-    assert_eq!(reporter.next_report(0, SubtreeSummary::default()), None, "a leaf says nothing");
+    assert_eq!(reporter.next_report(0, SubtreeSummary::default()), None, "no followers, no summary");
     assert_eq!(reporter.next_report(10, one.clone()), Some(one.clone()));
     assert_eq!(reporter.next_report(20_000, one.clone()), None);
     assert_eq!(reporter.next_report(30_010, one.clone()), Some(one.clone()));
     let mut newer = one.clone();
     (newer.lowest_version, newer.sample[0].version) = (9, 9);
-    assert_eq!(reporter.next_report(31_500, newer.clone()), None, "another version alone can wait");
+    assert_eq!(reporter.next_report(31_500, newer.clone()), None, "a changed version is sent after 5 s");
     assert_eq!(reporter.next_report(35_010, newer.clone()), Some(newer.clone()));
     let two = SubtreeSummary::from_followers(vec![downstream(1), downstream(2)]);
     assert_eq!(reporter.next_report(35_500, two.clone()), None);
@@ -218,7 +219,7 @@
     assert_eq!(
         reporter.next_report(37_010, SubtreeSummary::default()),
         Some(SubtreeSummary::default()),
-        "all have gone"
+        "the last follower was removed"
     );
     assert_eq!(reporter.next_report(90_000, SubtreeSummary::default()), None);
     reporter.reset();
@@ -226,15 +227,15 @@
 }
 
 #[test]
-fn an_old_peer_is_remembered_for_its_incarnation_alone() {
+fn a_legacy_peer_is_remembered_for_one_incarnation() {
     let mut legacy = LegacyPeers::default();
     legacy.remember(0, "h1", 3);
     assert!(legacy.contains(1000, "h1", 3));
-    assert!(!legacy.contains(1000, "h1", 4), "it may have been replaced by a newer program");
+    assert!(!legacy.contains(1000, "h1", 4), "it may have been upgraded");
     assert!(!legacy.contains(1000, "h2", 3));
     (0..1000).for_each(|i| legacy.remember(1, &format!("other{i}"), 1));
     assert!(legacy.contains(1000, "h1", 3));
-    assert!(!legacy.contains(10_000_000, "h1", 3), "it is asked again after a while");
+    assert!(!legacy.contains(10_000_000, "h1", 3), "it is forgotten after a while");
 }
 
 const LAYOUT: Layout = Layout { regions: 3, voters: 3, relays_per_region: 2, heads_per_region: 12 };
@@ -249,51 +250,51 @@
         1 => head.prop_map(Event::StartHead),
         1 => (1..LAYOUT.voters).prop_map(Event::KillVoter),
         1 => (1..LAYOUT.voters).prop_map(Event::StartVoter),
-        2 => (1..LAYOUT.regions).prop_map(Event::Cut),
-        2 => (1..LAYOUT.regions).prop_map(Event::Join),
-        1 => relay.clone().prop_map(Event::Slow),
-        1 => relay.prop_map(Event::Quick),
-        2 => Just(Event::Change),
+        2 => (1..LAYOUT.regions).prop_map(Event::Partition),
+        2 => (1..LAYOUT.regions).prop_map(Event::Heal),
+        1 => relay.clone().prop_map(Event::SlowDown),
+        1 => relay.prop_map(Event::SpeedUp),
+        2 => Just(Event::CommitChange),
     ]
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 48, ..ProptestConfig::default() })]
 
-    /// Deaths, cuts, slowness and returns in any order: never a ring, no head beyond its capacity, and once
-    /// the order of events is over every head with a way to a voter is up to date.
+    /// Whatever the order of crashes, partitions, slow relays and restarts, no head follows itself or serves
+    /// more than its capacity, and after the last event every head that can reach a voter becomes up to date.
     #[test]
-    fn a_head_reaches_a_live_path_whenever_there_is_one(
+    fn every_head_that_can_reach_a_voter_becomes_up_to_date(
         seed in any::<u64>(),
         events in prop::collection::vec((0u64..20_000, event()), 0..30)
     ) {
-        let mut fleet = Fleet::start(LAYOUT, seed);
-        fleet.run_for(10_000);
+        let mut cluster = SimulatedCluster::start(LAYOUT, seed);
+        cluster.run_for(10_000);
         for (elapsed, event) in events {
-            fleet.run_for(elapsed);
-            fleet.apply(event);
+            cluster.run_for(elapsed);
+            cluster.apply(event);
         }
         for _ in 0..40 {
-            fleet.run_for(5000);
-            fleet.apply(Event::Change);
+            cluster.run_for(5000);
+            cluster.apply(Event::CommitChange);
         }
-        fleet.run_for(5000);
-        for head in fleet.heads().filter(|head| fleet.has_way_to_voter(*head)) {
-            let age = fleet.age(head);
-            prop_assert!(age.is_some_and(|age| age <= MAX_UPDATE_AGE_MS), "{}", fleet.describe(head));
-            prop_assert_eq!(fleet.version(head), fleet.latest(), "{}", fleet.describe(head));
+        cluster.run_for(5000);
+        for head in cluster.heads().filter(|head| cluster.can_reach_voter(*head)) {
+            let age = cluster.age(head);
+            prop_assert!(age.is_some_and(|age| age <= MAX_UPDATE_AGE_MS), "{}", cluster.describe(head));
+            prop_assert_eq!(cluster.version(head), cluster.committed_version(), "{}", cluster.describe(head));
         }
     }
 }
 
 #[test]
-fn with_relays_every_head_hangs_on_one_of_its_region_and_serves_nobody() {
+fn with_relays_every_head_follows_one_of_its_region_and_serves_no_followers() {
     for seed in 0..10 {
-        let mut fleet = Fleet::start(LAYOUT, seed);
-        fleet.run_for(90_000);
-        for head in fleet.heads() {
-            assert!(fleet.follows_relay_of_its_region(head), "{}", fleet.describe(head));
-            assert_eq!(fleet.followers(head), 0, "{}", fleet.describe(head));
+        let mut cluster = SimulatedCluster::start(LAYOUT, seed);
+        cluster.run_for(90_000);
+        for head in cluster.heads() {
+            assert!(cluster.follows_relay_of_its_region(head), "{}", cluster.describe(head));
+            assert_eq!(cluster.followers(head), 0, "{}", cluster.describe(head));
         }
     }
 }
@@ -301,54 +302,63 @@
 #[test]
 fn without_relays_heads_form_a_tree() {
     let layout = Layout { relays_per_region: 0, heads_per_region: 40, ..LAYOUT };
-    let mut fleet = Fleet::start(layout, 7);
-    fleet.run_for(30_000);
-    fleet.apply(Event::Change);
-    fleet.run_for(5000);
-    for head in fleet.heads() {
-        assert_eq!(fleet.version(head), fleet.latest(), "{}", fleet.describe(head));
+    let mut cluster = SimulatedCluster::start(layout, 7);
+    cluster.run_for(30_000);
+    cluster.apply(Event::CommitChange);
+    cluster.run_for(5000);
+    for head in cluster.heads() {
+        assert_eq!(cluster.version(head), cluster.committed_version(), "{}", cluster.describe(head));
     }
-    assert!(fleet.heads().any(|head| fleet.followers(head) > 0));
+    assert!(cluster.heads().any(|head| cluster.followers(head) > 0));
 }
 
 #[test]
-fn the_heads_of_a_region_that_is_cut_off_stay_with_their_relay_and_are_up_to_date_soon_after() {
+fn heads_of_a_partitioned_region_stay_with_their_relay_and_catch_up_soon_after() {
     for seed in 0..10 {
-        let mut fleet = Fleet::start(LAYOUT, seed);
-        fleet.run_for(60_000);
-        let upstreams = |fleet: &Fleet| -> Vec<Option<String>> {
-            fleet.heads_of(1).map(|head| fleet.upstream(head)).collect()
+        let mut cluster = SimulatedCluster::start(LAYOUT, seed);
+        cluster.run_for(60_000);
+        let upstreams = |cluster: &SimulatedCluster| -> Vec<Option<String>> {
+            cluster.heads_of(1).map(|head| cluster.upstream(head)).collect()
         };
-        let before = upstreams(&fleet);
-        fleet.apply(Event::Cut(1));
-        fleet.run_for(1000);
-        fleet.apply(Event::Change);
-        let moves = fleet.moves();
-        fleet.run_for(120_000);
-        assert_eq!(upstreams(&fleet), before, "seed {seed}");
-        assert_eq!(fleet.moves(), moves, "seed {seed}: they moved during the cut");
-        for head in fleet.heads_of(1) {
-            assert!(fleet.age(head).is_some_and(|age| age > 100_000), "{}", fleet.describe(head));
+        let before = upstreams(&cluster);
+        cluster.apply(Event::Partition(1));
+        cluster.run_for(1000);
+        cluster.apply(Event::CommitChange);
+        let upstream_changes = cluster.upstream_changes();
+        cluster.run_for(120_000);
+        assert_eq!(upstreams(&cluster), before, "seed {seed}");
+        assert_eq!(
+            cluster.upstream_changes(),
+            upstream_changes,
+            "seed {seed}: heads moved during the partition"
+        );
+        for head in cluster.heads_of(1) {
+            assert!(cluster.age(head).is_some_and(|age| age > 100_000), "{}", cluster.describe(head));
         }
-        fleet.apply(Event::Join(1));
-        fleet.run_for(7000);
-        for head in fleet.heads_of(1) {
-            assert_eq!(fleet.version(head), fleet.latest(), "{}", fleet.describe(head));
+        cluster.apply(Event::Heal(1));
+        cluster.run_for(7000);
+        for head in cluster.heads_of(1) {
+            assert_eq!(cluster.version(head), cluster.committed_version(), "{}", cluster.describe(head));
         }
     }
 }
 
 #[test]
-fn a_relay_that_dies_or_is_slow_is_left_and_a_change_reaches_its_heads_in_seven_seconds() {
+fn a_change_reaches_the_heads_of_a_failed_or_slow_relay_within_seven_seconds() {
     for seed in 0..10 {
-        for event in [Event::KillRelay(0), Event::Slow(0)] {
-            let mut fleet = Fleet::start(LAYOUT, seed);
-            fleet.run_for(60_000);
-            fleet.apply(event);
-            fleet.apply(Event::Change);
-            fleet.run_for(7000);
-            for head in fleet.heads() {
-                assert_eq!(fleet.version(head), fleet.latest(), "seed {seed}: {}", fleet.describe(head));
+        for event in [Event::KillRelay(0), Event::SlowDown(0)] {
+            let mut cluster = SimulatedCluster::start(LAYOUT, seed);
+            cluster.run_for(60_000);
+            cluster.apply(event);
+            cluster.apply(Event::CommitChange);
+            cluster.run_for(7000);
+            for head in cluster.heads() {
+                assert_eq!(
+                    cluster.version(head),
+                    cluster.committed_version(),
+                    "seed {seed}: {}",
+                    cluster.describe(head)
+                );
             }
         }
     }
--- a/crates/replication/tests/repair.rs
+++ b/crates/replication/tests/repair.rs
@@ -1,4 +1,5 @@
-//! Repair of the voter group: replacement of voters, the operators' rules, and that a majority stays reachable.
+//! Repair of the voter group: replacement of voters, the operators' rules, and that a majority stays
+//! reachable.
 
 use proptest::prelude::*;
 use sedgerun_replication::repair::{
--- a/crates/replication/tests/view.rs
+++ b/crates/replication/tests/view.rs
@@ -15,8 +15,8 @@
 }
 
 proptest! {
-    /// A head receives small chunks from two upstreams, one of them behind, while both change. Its view must always equal
-    /// the view of an upstream at the same version.
+    /// A head receives small chunks from two upstreams, one of them behind, while both change. Its view must
+    /// always equal the view of an upstream at the same version.
     #[test]
     fn a_transferred_view_equals_the_upstream_at_its_version(
         steps in prop::collection::vec((0u8..6, any::<bool>(), 0u8..4, any::<bool>()), 1..80)
