--- a/crates/cluster/src/change/batch.rs
+++ b/crates/cluster/src/change/batch.rs
@@ -1,9 +1,9 @@
-//! Batches of changes, as the leader writes them: changes that wait at the same time become one entry of the log and
-//! share its syncs at each voter.
+//! Batching of changes on the leader: changes that are queued at the same time become one log entry, so that
+//! each voter syncs them together.
 
 use super::CHANGE_TIMEOUT;
 use crate::change_error::CommitError;
-use crate::disk::crash_point;
+use crate::disk::failpoint;
 use crate::member::Member;
 use crate::pending_change::{CommitResult, PendingChange};
 use crate::types::{PeerResponse, RaftTypes, VoterAddress};
@@ -16,27 +16,27 @@
 use tokio::sync::{Semaphore, mpsc, oneshot};
 use tokio::time::error::Elapsed;
 
-/// Changes that wait to be written, at most; past it their senders wait.
+/// Capacity of the queue of changes; senders wait while it is full.
 pub const MAX_WAITING_CHANGES: usize = 1024;
-/// Changes of one entry, at most.
+/// Maximum number of changes in one log entry.
 const MAX_BATCH: usize = 256;
-/// Entries in flight, at most.
+/// Maximum number of uncommitted log entries with changes.
 const MAX_ENTRIES_IN_FLIGHT: usize = 2;
 
 type ClientWriteResult =
     Result<ClientWriteResponse<RaftTypes>, RaftError<StoreId, ClientWriteError<StoreId, VoterAddress>>>;
 
 impl Member {
-    /// Makes a change through this head as leader, in a batch with those that wait at the same time.
+    /// Commits a change on this head as leader, in a batch with other queued changes.
     pub(super) async fn commit(&self, change: Change) -> CommitResult {
         let (result, committed) = oneshot::channel();
         self.changes.send(PendingChange { change, result }).await.map_err(|_| CommitError::Ended)?;
         let committed = committed.await.map_err(|_| CommitError::Ended)?;
-        crash_point("before the response to a client");
+        failpoint("before the response to a client");
         committed
     }
 
-    /// Makes a change for another head, as leader, in `left_ms` milliseconds.
+    /// Commits a change for another head, as leader, within `left_ms` milliseconds.
     pub async fn change_for_peer(&self, change: Change, left_ms: u64) -> PeerResponse {
         let left = Duration::from_millis(left_ms).min(CHANGE_TIMEOUT);
         let committed = tokio::time::timeout(left, self.commit(change)).await;
@@ -47,8 +47,8 @@
         }
     }
 
-    /// Writes waiting changes in batches, for as long as the future is polled. The next batch is gathered while the last
-    /// one is in flight.
+    /// Writes queued changes in batches until the queue is closed. The next batch is collected while earlier
+    /// ones are not committed yet.
     pub async fn write_batches(self: Arc<Self>, mut waiting: mpsc::Receiver<PendingChange>) {
         let in_flight = Arc::new(Semaphore::new(MAX_ENTRIES_IN_FLIGHT));
         while let Some(first) = waiting.recv().await {
@@ -61,8 +61,8 @@
             }
             let member = Arc::clone(&self);
             tokio::spawn(async move {
-                // Guards against an entry that is never answered, as when this head loses the leadership: it would keep
-                // its permit for good.
+                // The consensus library may never complete a write, as when this head loses the leadership.
+                // Without the timeout the entry would hold its permit forever.
                 let written = tokio::time::timeout(CHANGE_TIMEOUT, member.raft.client_write(changes)).await;
                 drop(permit);
                 send_results(written, results);
@@ -71,12 +71,12 @@
     }
 }
 
-/// Sends the result of a batch to all that wait for its changes.
+/// Sends the result of a batch to the requesters of its changes.
 fn send_results(written: Result<ClientWriteResult, Elapsed>, results: Vec<oneshot::Sender<CommitResult>>) {
     let error = match written {
         Ok(Ok(written)) => {
             for (result, outcome) in results.into_iter().zip(written.data) {
-                // The caller may have stopped waiting.
+                // The requester may have timed out.
                 let _ = result.send(Ok(outcome));
             }
             return;
--- a/crates/cluster/src/change/forward.rs
+++ b/crates/cluster/src/change/forward.rs
@@ -1,4 +1,4 @@
-//! Requests to the leader, which end early when another head becomes the leader.
+//! Requests to the leader. A voter abandons them as soon as it learns that the leader has changed.
 
 use crate::change_error::LeaderRequestError;
 use crate::member::Member;
@@ -7,25 +7,26 @@
 use sedgerun_replication::store::StoreId;
 use std::time::Duration;
 
-/// Time of one attempt at one leader, on a follower, which cannot notice that another leads.
+/// Timeout of one attempt on a follower, which does not learn of a leader change during the request.
 const FOLLOWER_ATTEMPT_TIMEOUT: Duration = Duration::from_millis(450);
 
 impl Member {
-    /// Sends a request to the leader, and waits for the response for as long as it is the leader.
+    /// Sends a request to the leader and waits for the response until `left` has passed or the leader
+    /// changes.
     pub(super) async fn request_to_leader(
         &self,
         leader: &Peer,
         request: &PeerRequest,
         left: Duration,
     ) -> Result<PeerResponse, LeaderRequestError> {
-        let Some(address) = self.links.route(&leader.head, &leader.address) else {
+        let Some(address) = self.network.route(&leader.head, &leader.address) else {
             return Err(LeaderRequestError::NoAddress(leader.head.clone()));
         };
         let known = self.raft.metrics().borrow().current_leader;
         let timeout = if known.is_some() { left } else { left.min(FOLLOWER_ATTEMPT_TIMEOUT) };
         tokio::select! {
             biased;
-            response = self.links.request(address, request, timeout) => {
+            response = self.network.request(address, request, timeout) => {
                 let head = leader.head.clone();
                 response.map_err(|source| LeaderRequestError::Connection { head, address, source })
             }
@@ -33,7 +34,7 @@
         }
     }
 
-    /// Waits until another head than this one is the leader, or none.
+    /// Waits until the leader is no longer the store `from`.
     async fn leader_changed(&self, from: Option<StoreId>) {
         let mut metrics = self.raft.metrics();
         if metrics.wait_for(|metrics| metrics.current_leader != from).await.is_err() {
--- a/crates/cluster/src/change/mod.rs
+++ b/crates/cluster/src/change/mod.rs
@@ -1,13 +1,13 @@
-//! Changes of the replicated state, on whichever head they are requested and wherever the leader is.
+//! Changes of the replicated state. Any head accepts them and forwards them to the leader.
 //!
-//! A change is committed once a majority of the voters has synced it. Retries carry the same idempotency key, so a
-//! change whose first answer did not arrive still happens once.
+//! A change is committed once a majority of the voters has synced it. Retries carry the same idempotency key,
+//! so a change is applied once even if the response to the first attempt is lost.
 //!
 //! - `batch`: the leader writes changes in batches
 //! - `forward`: requests to the leader
 //! - `read`: linearizable reads
 //!
-//! Why one is not completed is in `change_error`.
+//! The errors are in `change_error`.
 
 mod batch;
 mod forward;
@@ -24,17 +24,17 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Time in which a change is committed or refused.
+/// Time limit for committing a change or confirming a read, with all retries.
 const CHANGE_TIMEOUT: Duration = Duration::from_millis(950);
-/// Time between attempts while there is no leader.
+/// Pause between attempts.
 const RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A change with its idempotency key: that of the caller, or a random one.
+/// Creates a change with the caller's idempotency key, or with a random one if `key` is `None`.
 ///
 /// `expect` is the version that the tenant must have ([`Change::expect`]).
 ///
 /// # Errors
-/// There are no random numbers for a key.
+/// No random number is available for a key.
 pub fn new_change(key: Option<&str>, expect: Option<u64>, command: Command) -> Result<Change, EntropyError> {
     let key = match key {
         Some(key) => format!("caller {key}"),
@@ -44,12 +44,12 @@
 }
 
 impl Member {
-    /// Makes a change, wherever the leader is.
+    /// Commits a change, on this head if it leads, else on the leader.
     ///
     /// # Errors
-    /// It was not committed in time; it may still be.
+    /// The change was not committed within `CHANGE_TIMEOUT`; it may still be committed later.
     pub async fn change(&self, change: Change) -> Result<ChangeOutcome, ClusterRequestError> {
-        if self.links.own().origin.is_none() {
+        if self.network.own_greeting().origin.is_none() {
             return Err(AttemptError::NotInCluster.into());
         }
         let begun = Instant::now();
@@ -66,10 +66,10 @@
             }
             if let Some(leader) = redirected_to.take().or_else(|| self.leader()) {
                 let left = CHANGE_TIMEOUT.saturating_sub(begun.elapsed());
-                match self.change_at(&leader, change.clone(), left).await {
+                match self.change_at_leader(&leader, change.clone(), left).await {
                     Ok(outcome) => return Ok(outcome),
                     Err(error) => {
-                        redirected_to = error.other_leader(&leader);
+                        redirected_to = error.next_leader_to_try(&leader);
                         last_error = error;
                     }
                 }
@@ -79,8 +79,8 @@
         Err(last_error.into())
     }
 
-    /// Makes a change at the leader.
-    async fn change_at(
+    /// Sends a change to the leader.
+    async fn change_at_leader(
         &self,
         leader: &Peer,
         change: Change,
--- a/crates/cluster/src/change/read.rs
+++ b/crates/cluster/src/change/read.rs
@@ -1,4 +1,4 @@
-//! Linearizable reads: a head waits until it has all that was committed when the read began.
+//! Linearizable reads: a head waits until it has all changes that were committed when the read began.
 
 use super::{CHANGE_TIMEOUT, RETRY_INTERVAL};
 use crate::change_error::{AttemptError, ClusterRequestError, LinearizableReadError};
@@ -9,20 +9,21 @@
 use tokio::time::Instant;
 
 impl Member {
-    /// The version that every read from now on must see, confirmed by this head as leader.
+    /// The version that a linearizable read beginning now must have reached, confirmed by this head as
+    /// leader.
     ///
     /// # Errors
-    /// This head does not lead, or a majority did not confirm it in time.
+    /// This head does not lead, or a majority did not confirm its leadership in time.
     pub async fn linearizable_version(&self) -> Result<u64, LinearizableReadError> {
         let confirmed = tokio::time::timeout(CHANGE_TIMEOUT, self.raft.ensure_linearizable()).await;
         confirmed.map_err(|_| LinearizableReadError::NoMajority)?.map_err(Box::new)?;
         Ok(self.state_machine.applied_version())
     }
 
-    /// Waits until this head has all that was committed when this was called; returns the version.
+    /// Waits until this head has all changes that were committed when this was called; returns the version.
     ///
     /// # Errors
-    /// It did not come that far in time.
+    /// No leader confirmed a version, or this head did not reach it in time.
     pub async fn wait_for_latest(&self) -> Result<u64, ClusterRequestError> {
         let begun = Instant::now();
         let mut last_error = AttemptError::NoLeader;
@@ -34,7 +35,7 @@
                 }
             }
             if let Some(leader) = self.leader() {
-                match self.latest_version_at(&leader, left).await {
+                match self.version_at_leader(&leader, left).await {
                     Ok(version) => {
                         let left = CHANGE_TIMEOUT.saturating_sub(begun.elapsed());
                         return self.wait_for_version(version, left).await;
@@ -47,7 +48,7 @@
         Err(last_error.into())
     }
 
-    async fn latest_version_at(&self, leader: &Peer, left: Duration) -> Result<u64, AttemptError> {
+    async fn version_at_leader(&self, leader: &Peer, left: Duration) -> Result<u64, AttemptError> {
         match self.request_to_leader(leader, &PeerRequest::LinearizableVersion, left).await? {
             PeerResponse::LinearizableVersion(version) => Ok(version),
             PeerResponse::Rejected(why) => Err(AttemptError::Rejected(why)),
@@ -55,10 +56,10 @@
         }
     }
 
-    /// Waits until this head has a version; returns the version that it has then.
+    /// Waits until this head has reached `version`; returns the version that it has then.
     ///
     /// # Errors
-    /// It did not come that far in time.
+    /// This head did not reach the version in time.
     pub async fn wait_for_version(
         &self,
         version: u64,
--- a/crates/cluster/src/change_error.rs
+++ b/crates/cluster/src/change_error.rs
@@ -1,4 +1,4 @@
-//! Why a change or a read was not completed.
+//! Errors of changes and of linearizable reads.
 
 use crate::types::VoterAddress;
 use openraft::error::{CheckIsLeaderError, ClientWriteError, RaftError};
@@ -8,7 +8,8 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// Why a change or a read was not completed, in one line for its caller. A change may still be committed.
+/// Why a change or a read was not completed, as one line of text for its requester. A change may still be
+/// committed.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{0}")]
 pub struct ClusterRequestError(pub String);
@@ -22,28 +23,28 @@
 /// Why the last attempt at a change or a read failed.
 #[derive(Debug, Error)]
 pub enum AttemptError {
-    /// This head has no state of a cluster.
-    #[error("this head is in no fleet yet: sedgerun fleet begin")]
+    /// This head does not belong to a cluster yet.
+    #[error("this head is in no fleet yet; begin one with sedgerun fleet begin")]
     NotInCluster,
     /// No leader is known.
     #[error("no leader is known")]
     NoLeader,
-    /// The voters did not commit it in time.
-    #[error("no majority of the voters answers")]
+    /// A majority of the voters did not commit the change in time.
+    #[error("no majority of the voters responded in time")]
     NoMajority,
-    /// The head that was taken for the leader is not the leader.
-    #[error("{head} does not lead")]
+    /// The head to which the request was sent is not the leader.
+    #[error("{head} is not the leader")]
     NotLeader {
-        /// Its name.
+        /// The head's name.
         head: String,
-        /// The leader that it knows.
+        /// The leader that the head knows, if any.
         known: Option<Peer>,
     },
-    /// The leader refuses it, for this reason.
+    /// The leader rejected the request, for this reason.
     #[error("{0}")]
     Rejected(String),
     /// The leader's response does not fit the request.
-    #[error("the leader answers something else")]
+    #[error("the leader sent a response of an unexpected type")]
     UnexpectedResponse,
     /// The leader cannot be reached.
     #[error(transparent)]
@@ -54,19 +55,19 @@
     /// This head, as leader, cannot confirm a read.
     #[error(transparent)]
     Read(#[from] LinearizableReadError),
-    /// This head did not receive the version in time.
-    #[error("this head holds version {version}, not {wanted}")]
+    /// This head did not reach the requested version in time.
+    #[error("this head has version {version} and did not reach version {wanted} in time")]
     Behind {
-        /// The version that it has.
+        /// The version that this head has.
         version: u64,
-        /// The version that was waited for.
+        /// The requested version.
         wanted: u64,
     },
 }
 
 impl AttemptError {
-    /// The leader to try next, if a head that was taken for the leader named another.
-    pub(super) fn other_leader(&self, tried: &Peer) -> Option<Peer> {
+    /// The leader to try next, if the head `tried` is not the leader and named another.
+    pub(super) fn next_leader_to_try(&self, tried: &Peer) -> Option<Peer> {
         match self {
             AttemptError::NotLeader { known, .. } => known.clone().filter(|known| known.head != tried.head),
             _ => None,
@@ -77,8 +78,8 @@
 /// Why a request to the leader failed.
 #[derive(Debug, Error)]
 pub enum LeaderRequestError {
-    /// Its address is malformed.
-    #[error("the leader {0} has no address")]
+    /// The leader's address is malformed.
+    #[error("the address of the leader {0} is malformed")]
     NoAddress(String),
     /// The connection failed.
     #[error("the leader {head} at {address}: {source}")]
@@ -90,25 +91,25 @@
         /// What failed.
         source: io::Error,
     },
-    /// Another leader was elected meanwhile.
-    #[error("the leader has just changed")]
+    /// The leader changed while the request was in progress.
+    #[error("the leader changed during the request")]
     Changed,
 }
 
-/// Why a leader did not commit a change. It is cloned for all changes of a batch.
+/// Why a leader did not commit a change. It is cloned for each change of a batch.
 #[derive(Clone, Debug, Error)]
 pub enum CommitError {
-    /// This head does not lead; this one may.
-    #[error("this head does not lead")]
+    /// This head is not the leader; contains the leader that it knows, if any.
+    #[error("this head is not the leader")]
     NotLeader(Option<VoterAddress>),
     /// The consensus library has failed.
     #[error(transparent)]
     Raft(Box<RaftError<StoreId, ClientWriteError<StoreId, VoterAddress>>>),
-    /// The voters did not commit it in time.
-    #[error("no majority of the voters answers")]
+    /// A majority of the voters did not commit the change in time.
+    #[error("no majority of the voters responded in time")]
     NoMajority,
     /// The task that writes changes has ended.
-    #[error("this head makes no changes any more")]
+    #[error("this head has stopped committing changes")]
     Ended,
 }
 
@@ -118,7 +119,7 @@
     /// This head does not lead, or the consensus library has failed.
     #[error(transparent)]
     Raft(#[from] Box<RaftError<StoreId, CheckIsLeaderError<StoreId, VoterAddress>>>),
-    /// The voters did not confirm it in time.
-    #[error("no majority of the voters answers")]
+    /// A majority of the voters did not confirm this head's leadership in time.
+    #[error("no majority of the voters responded in time")]
     NoMajority,
 }
--- a/crates/cluster/src/client/backup.rs
+++ b/crates/cluster/src/client/backup.rs
@@ -1,8 +1,8 @@
-//! Backup of the whole state to a file, and its restoration into a cluster without state.
+//! Backup of the replicated state to a file, and restoring it into a cluster without state.
 
 use super::error::{ClientError, HeadError, HeadErrors};
-use super::{HEAD_TIMEOUT, block_on, links, submit_change};
-use crate::link::Links;
+use super::{HEAD_TIMEOUT, block_on, network, submit_change};
+use crate::peer_network::PeerNetwork;
 use crate::settings::Settings;
 use crate::types::{PeerRequest, PeerResponse};
 use sedgerun_replication::record::{self, RecordType};
@@ -13,7 +13,8 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// The contents of a backup. The order of its fields is part of the file's format.
+/// The contents of a backup file. The fields are encoded by position, so their order is part of the file
+/// format.
 #[derive(Serialize, Deserialize)]
 struct Backup {
     fleet: String,
@@ -21,16 +22,17 @@
     objects: Vec<VersionedObject>,
 }
 
-/// Writes the whole state to a file, with all that was committed when this was called.
+/// Writes the replicated state to a file, with all changes that were committed when this was called. Returns
+/// a text for the operator.
 ///
 /// # Errors
-/// What each voter answered, or why the file cannot be written.
+/// No voter provides the state, or the file cannot be written.
 pub fn backup(settings: &Settings, head: &str, file: &Path) -> Result<String, ClientError> {
-    let links = links(settings, head);
+    let network = network(settings, head);
     let view = block_on(async {
         let mut errors = HeadErrors::default();
         for (name, address) in &settings.voters {
-            match download(&links, *address).await {
+            match download(&network, *address).await {
                 Ok(view) => return Ok(view),
                 Err(error) => errors.add(name, error),
             }
@@ -51,10 +53,10 @@
     ))
 }
 
-/// Restores a backup into a cluster without state.
+/// Restores a backup into a cluster without state. Returns a text for the operator.
 ///
 /// # Errors
-/// Why the file cannot be read, or as of [`submit_change`].
+/// The file cannot be read, or as of [`submit_change`].
 pub fn restore(settings: &Settings, head: &str, file: &Path) -> Result<String, ClientError> {
     let bytes = std::fs::read(file);
     let bytes = bytes.map_err(|source| ClientError::File { file: file.to_owned(), source })?;
@@ -67,9 +69,9 @@
     ))
 }
 
-/// Downloads the view of the leader, with all that is committed; an error from heads that do not lead.
-async fn download(links: &Links, address: SocketAddr) -> Result<View, HeadError> {
-    let latest = match links.request(address, &PeerRequest::LinearizableVersion, HEAD_TIMEOUT).await? {
+/// Downloads the leader's view with all committed changes. Heads that do not lead reject this.
+async fn download(network: &PeerNetwork, address: SocketAddr) -> Result<View, HeadError> {
+    let latest = match network.request(address, &PeerRequest::LinearizableVersion, HEAD_TIMEOUT).await? {
         PeerResponse::LinearizableVersion(version) => version,
         PeerResponse::Rejected(why) => return Err(HeadError::Rejected(why)),
         _ => return Err(HeadError::UnexpectedResponse),
@@ -78,7 +80,7 @@
     while view.version < latest {
         let (since, first_version) = transfer.next_request(&view);
         let request = PeerRequest::Chunk(since, first_version);
-        let PeerResponse::Chunk(chunk) = links.request(address, &request, HEAD_TIMEOUT).await? else {
+        let PeerResponse::Chunk(chunk) = network.request(address, &request, HEAD_TIMEOUT).await? else {
             return Err(HeadError::UnexpectedResponse);
         };
         transfer.accept(&mut view, chunk)?;
@@ -86,7 +88,8 @@
     Ok(view)
 }
 
-/// Writes a file under a temporary name first. Guards against half a backup under the name of a complete one.
+/// Writes a file under a temporary name and renames it, so that no partial backup has the name of a complete
+/// one.
 fn write_file(file: &Path, bytes: &[u8]) -> std::io::Result<()> {
     let temporary = file.with_extension("part");
     let mut out = std::fs::File::create(&temporary)?;
--- a/crates/cluster/src/client/error.rs
+++ b/crates/cluster/src/client/error.rs
@@ -1,4 +1,4 @@
-//! Why a request of the command line failed.
+//! Errors of the `sedgerun fleet ...` commands.
 
 use crate::environment::EntropyError;
 use sedgerun_replication::record::{CorruptRecord, EncodeError};
@@ -10,35 +10,35 @@
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// Why a request of the command line failed.
+/// Why a command failed.
 #[derive(Debug, Error)]
 pub enum ClientError {
-    /// There is no runtime for connections.
-    #[error("no runtime: {0}")]
+    /// The runtime for connections cannot be created.
+    #[error("cannot create the runtime for connections: {0}")]
     Runtime(#[source] io::Error),
-    /// There are no random numbers for an idempotency key.
+    /// No random number is available for an idempotency key.
     #[error(transparent)]
     Entropy(#[from] EntropyError),
     /// The change was rejected, for this reason.
     #[error("{0}")]
     ChangeRejected(String),
-    /// The change had an outcome that changes of the command line do not have.
-    #[error("{0:?}")]
+    /// The change had an outcome that is not expected for changes of the command line.
+    #[error("unexpected outcome of the change: {0:?}")]
     UnexpectedOutcome(ChangeOutcome),
     /// No voter confirmed the change; it may still be committed.
-    #[error("not settled, and may still happen: {0}")]
+    #[error("the change is not confirmed, and may still be committed: {0}")]
     NotCommitted(HeadErrors),
-    /// No head that answers is the leader.
-    #[error("no leader answers")]
+    /// None of the heads that responded is the leader.
+    #[error("no leader responded")]
     NoLeader,
     /// The head of this name does not vote.
     #[error("{0} does not vote")]
     NotAVoter(String),
-    /// No voter answers.
-    #[error("no voter answers: {0}")]
-    NoVoterAnswers(HeadErrors),
+    /// No voter responded.
+    #[error("no voter responded: {0}")]
+    NoVoterResponded(HeadErrors),
     /// The state cannot be downloaded from any voter.
-    #[error("{0}")]
+    #[error("cannot download the state: {0}")]
     Download(HeadErrors),
     /// The backup cannot be encoded.
     #[error(transparent)]
@@ -48,7 +48,7 @@
     File {
         /// The file.
         file: PathBuf,
-        /// Why.
+        /// Why it cannot be read or written.
         source: io::Error,
     },
     /// The backup's file is corrupt.
@@ -62,11 +62,11 @@
     /// A head cannot be reached, or its response does not fit the request.
     #[error("{head} at {address}: {source}")]
     Head {
-        /// Its name.
+        /// The head's name.
         head: String,
         /// Its address.
         address: SocketAddr,
-        /// Why.
+        /// Why the request failed.
         source: HeadError,
     },
     /// A head rejects the request, for this reason.
@@ -74,11 +74,11 @@
     RequestRejected(String),
 }
 
-/// Why one head did not answer a request.
+/// Why a request to one head failed.
 #[derive(Debug, Error)]
 pub enum HeadError {
     /// Its address is malformed.
-    #[error("no address")]
+    #[error("its address is malformed")]
     NoAddress,
     /// The connection failed.
     #[error(transparent)]
@@ -87,14 +87,14 @@
     #[error("{0}")]
     Rejected(String),
     /// Its response does not fit the request.
-    #[error("an answer to something else")]
+    #[error("unexpected type of response")]
     UnexpectedResponse,
-    /// Its version went back during a download.
+    /// The head's version decreased during a download.
     #[error(transparent)]
     Behind(#[from] UpstreamBehind),
 }
 
-/// Why none of several heads answered, by their names.
+/// The errors of several heads, each with the head's name.
 #[derive(Debug, Default)]
 pub struct HeadErrors(Vec<(String, HeadError)>);
 
--- a/crates/cluster/src/client/mod.rs
+++ b/crates/cluster/src/client/mod.rs
@@ -1,9 +1,8 @@
-//! `sedgerun fleet ...`: what the command line requests from the heads of a cluster.
+//! The client of the `sedgerun fleet ...` commands, which sends requests to the heads of a cluster.
 //!
-//! It connects like a head, with the secret of the settings and without a store. Each function blocks until it is done,
-//! and returns text for people.
+//! The client connects like a head, with the secret of the settings, but without a store. Its functions block
+//! until the command is done. This module submits changes and begins a cluster.
 //!
-//! - here: changes, and beginning a cluster
 //! - `backup`: backup and restore
 //! - `status`: the status of all heads, as a table or as JSON
 //! - `error`: typed errors
@@ -18,7 +17,7 @@
 
 use crate::change::new_change;
 use crate::environment::{Tcp, random};
-use crate::link::Links;
+use crate::peer_network::PeerNetwork;
 use crate::settings::{Settings, own_address};
 use crate::types::{PeerRequest, PeerResponse};
 use sedgerun_replication::greeting::Greeting;
@@ -28,23 +27,25 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time for the response of one head.
+/// Timeout of a request to one head.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Makes a change through whichever voter answers; returns the version at which it was committed.
+/// Submits a change to one voter after the other until one confirms it; returns the version at which it was
+/// committed.
 ///
 /// # Errors
-/// Why it was rejected, or what each voter answered.
+/// The change was rejected, or no voter confirmed it.
 pub fn submit_change(settings: &Settings, head: &str, command: Command) -> Result<u64, ClientError> {
-    // One key for all attempts: however many voters are called, it happens once.
+    // All attempts have the same idempotency key, so that the change is applied once, whichever voters
+    // receive it.
     let key = format!("line {:016x}", random()?);
     let change = new_change(Some(&key), None, command)?;
-    let links = links(settings, head);
+    let network = network(settings, head);
     block_on(async {
         let mut errors = HeadErrors::default();
         for (name, address) in &settings.voters {
             let request = PeerRequest::SubmitChange(change.clone());
-            match links.request(*address, &request, HEAD_TIMEOUT).await {
+            match network.request(*address, &request, HEAD_TIMEOUT).await {
                 Ok(PeerResponse::Changed(outcome)) => return committed_version(outcome),
                 Ok(PeerResponse::Rejected(why)) => errors.add(name, HeadError::Rejected(why)),
                 Ok(_) => errors.add(name, HeadError::UnexpectedResponse),
@@ -63,28 +64,28 @@
     }
 }
 
-/// Declares the store dead that votes under a head's name, so that it is replaced at once; returns the version at which
-/// that was committed.
+/// Declares the store of the voter `dead` dead, so that the leader replaces it at once; returns the version
+/// at which this was committed.
 ///
 /// # Errors
-/// As of [`submit_change`], or the head does not vote.
+/// As of [`submit_change`], or no leader responded, or the head does not vote.
 pub fn replace_voter(settings: &Settings, head: &str, dead: &str) -> Result<u64, ClientError> {
     let report = ClusterReport::collect(settings, head)?;
-    let mut statuses = report.answered().map(|report| &report.status);
+    let mut statuses = report.reports().map(|report| &report.status);
     let leader = statuses.find(|status| status.role == "leader").ok_or(ClientError::NoLeader)?;
     let voter = leader.voters.iter().find(|voter| voter.votes && voter.head == dead);
     let store = voter.ok_or_else(|| ClientError::NotAVoter(dead.to_owned()))?.store;
     submit_change(settings, head, Command::DeclareDead(store))
 }
 
-/// Begins the cluster at this head with the voters of its settings.
+/// Begins the cluster at this head with the voters of its settings. Returns a text for the operator.
 ///
 /// # Errors
-/// Why the head refuses, or cannot be reached.
+/// The head rejects the request or cannot be reached.
 pub fn begin(settings: &Settings, head: &str) -> Result<String, ClientError> {
     let address = own_address(settings, head);
     let at_head = |source: HeadError| ClientError::Head { head: head.to_owned(), address, source };
-    let response = block_on(links(settings, head).request(address, &PeerRequest::Begin, HEAD_TIMEOUT))?;
+    let response = block_on(network(settings, head).request(address, &PeerRequest::Begin, HEAD_TIMEOUT))?;
     match response.map_err(|error| at_head(HeadError::Connection(error)))? {
         PeerResponse::Begun => {
             Ok(format!("fleet {} has begun with {} keepers\n", settings.name, settings.voters.len()))
@@ -94,8 +95,8 @@
     }
 }
 
-/// Links of the command line: with the secret of the settings, and without a store.
-fn links(settings: &Settings, head: &str) -> Links {
+/// Creates the connections of the command line: with the secret of the settings, and without a store.
+fn network(settings: &Settings, head: &str) -> PeerNetwork {
     let own = Greeting {
         fleet: settings.name.clone(),
         secret: settings.secret.clone(),
@@ -107,7 +108,7 @@
         initial_watermark: Watermark::default(),
         origin: None,
     };
-    Links::new(own, settings.routes(), Watermarks::default(), Arc::new(Tcp))
+    PeerNetwork::new(own, settings.routes(), Watermarks::default(), Arc::new(Tcp))
 }
 
 fn block_on<T>(work: impl Future<Output = T>) -> Result<T, ClientError> {
--- a/crates/cluster/src/client/status/json.rs
+++ b/crates/cluster/src/client/status/json.rs
@@ -1,4 +1,4 @@
-//! The status of a cluster as JSON. Its keys are part of what operators' tools read; renamed ones appear under both names
+//! The status of a cluster as JSON. Operators' tools read its keys, so a renamed key appears under both names
 //! for one release.
 
 use super::{ClusterReport, HeadReport};
@@ -6,10 +6,10 @@
 use sedgerun_replication::relay::RelayStatus;
 use serde_json::{Value, json};
 
-/// Renamed keys: the deprecated spelling, which stays for one release, and the new one.
+/// Renamed keys: the deprecated name, which stays for one release, and the new name.
 const RENAMED_KEYS: [(&str, &str); 3] = [("keepers", "voters"), ("lineage", "path"), ("life", "incarnation")];
 
-/// The status as JSON, for the cluster of this name.
+/// Renders the status of the cluster `fleet` as JSON.
 pub(super) fn render(fleet: &str, report: &ClusterReport) -> Value {
     let heads = report.0.iter().map(|(name, result)| match result {
         Ok(report) => head(report),
@@ -58,7 +58,7 @@
     json!(format!("{store:016x}"))
 }
 
-/// Adds the new spelling of each renamed key beside the deprecated one, in objects at any depth.
+/// Adds the new name of each renamed key beside the deprecated one, in objects at any depth.
 fn add_renamed_keys(value: &mut Value) {
     match value {
         Value::Object(object) => {
--- a/crates/cluster/src/client/status/table.rs
+++ b/crates/cluster/src/client/status/table.rs
@@ -1,4 +1,4 @@
-//! The status of a cluster as a table for people.
+//! The status of a cluster as a text table.
 
 use super::{ClusterReport, HeadReport};
 use crate::types::HeadStatus;
@@ -6,16 +6,16 @@
 use sedgerun_replication::relay::RelayStatus;
 use std::fmt::{self, Write};
 
-/// The status as a table, for the cluster of this name.
+/// Renders the status of the cluster `fleet` as a table.
 pub(super) fn render(fleet: &str, report: &ClusterReport) -> String {
     let mut text = String::new();
-    // Writing to a string does not fail.
+    // Writing to a string cannot fail.
     let _ = write_table(&mut text, fleet, report);
     text
 }
 
 fn write_table(text: &mut String, fleet: &str, report: &ClusterReport) -> fmt::Result {
-    let newest_version = report.answered().map(|report| report.status.version).max().unwrap_or(0);
+    let newest_version = report.reports().map(|report| report.status.version).max().unwrap_or(0);
     writeln!(text, "fleet {fleet}")?;
     writeln!(
         text,
--- a/crates/cluster/src/disk/contents.rs
+++ b/crates/cluster/src/disk/contents.rs
@@ -1,4 +1,4 @@
-//! What a store contains, and how it is read when it is opened.
+//! The contents of a store: reading them when the store is opened, and replacing them for a forced recovery.
 
 use super::error::StoreError;
 use super::key;
@@ -13,7 +13,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Records by name ([`key`]).
+/// Records by key ([`key`]).
 pub(super) const META: TableDefinition<'_, &str, &[u8]> = TableDefinition::new("meta");
 /// Log entries by index.
 pub(super) const LOG: TableDefinition<'_, u64, &[u8]> = TableDefinition::new("log");
@@ -21,17 +21,17 @@
 /// The identity of a store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Identity {
-    /// Its number, drawn once.
+    /// The identifier of the store, a random number from its creation.
     pub store: StoreId,
-    /// Counted up at each start.
+    /// Number of starts.
     pub incarnation: u64,
-    /// Origin of the cluster whose state it has.
+    /// Origin of the cluster that the store belongs to; `None` before it belongs to one.
     pub origin: Option<u64>,
 }
 
-/// What a store contained when it was opened.
+/// The contents of a store when it was opened.
 pub struct OpenedStore {
-    /// Its identity, in its new incarnation.
+    /// The identity of the store, in its new incarnation if one has begun.
     pub identity: Identity,
     /// The last vote.
     pub vote: Option<Vote>,
@@ -41,16 +41,16 @@
     pub purged: Option<LogId>,
     /// The log, by index.
     pub log: BTreeMap<u64, Entry>,
-    /// What is remembered of other stores.
+    /// The watermarks of other stores.
     pub watermarks: Watermarks,
     /// The last snapshot and its encoded state.
     pub snapshot: Option<(SnapshotMeta, Vec<u8>)>,
-    /// What it received as a follower.
+    /// The view that the head received as a follower.
     pub followed: View,
 }
 
 impl OpenedStore {
-    /// How far the store was when it was opened.
+    /// The watermark of the store when it was opened: the term of its vote and its last log position.
     pub fn watermark(&self) -> Watermark {
         let snapshot = self.snapshot.as_ref().and_then(|(meta, _)| meta.last_log_id);
         let last = self.log.values().next_back().map(|entry| entry.log_id).max(self.purged).max(snapshot);
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Reads all that a database contains. Its identity is still that of the last incarnation.
+    /// Reads all contents of a database. The identity is still that of the last incarnation.
     pub(super) fn read(database: &Database) -> Result<OpenedStore, StoreError> {
         create_tables(database)?;
         let transaction = database.begin_read().map_err(redb::Error::from)?;
@@ -107,7 +107,7 @@
     Ok(log)
 }
 
-/// The records beside the log.
+/// The records other than log entries.
 struct Records {
     meta: ReadOnlyTable<&'static str, &'static [u8]>,
 }
@@ -121,7 +121,7 @@
         self.read_as(record_type, key, key)
     }
 
-    /// Reads a record that errors call by another name than its key.
+    /// Reads a record that is named `name` in errors, where its key would be misleading.
     fn read_as<T: DeserializeOwned>(
         &self,
         record_type: RecordType,
@@ -141,11 +141,11 @@
     }
 }
 
-/// Replaces all that a store contains by these records, in one transaction.
+/// Replaces all contents of a store by these records, in one transaction.
 ///
 /// # Errors
-/// The database cannot be written; then nothing is replaced.
-pub fn replace(database: &Database, records: &[(&str, Vec<u8>)]) -> Result<(), redb::Error> {
+/// The database cannot be written; then its contents are unchanged.
+pub fn replace_contents(database: &Database, records: &[(&str, Vec<u8>)]) -> Result<(), redb::Error> {
     let mut transaction = database.begin_write()?;
     transaction.set_quick_repair(true);
     {
--- a/crates/cluster/src/disk/error.rs
+++ b/crates/cluster/src/disk/error.rs
@@ -1,4 +1,4 @@
-//! Why a store cannot be opened, read or written.
+//! Errors of opening, reading and writing a store.
 
 use crate::environment::EntropyError;
 use sedgerun_replication::record::{CorruptRecord, EncodeError};
@@ -15,15 +15,15 @@
     Folder {
         /// The folder.
         folder: PathBuf,
-        /// Why.
+        /// Why it cannot be created.
         source: io::Error,
     },
     /// The store in this file cannot be used.
     #[error("{file}: {source}")]
     Store {
-        /// The file, or the simulator's name for a disk.
+        /// The path of the file, or `simulated disk`.
         file: String,
-        /// Why.
+        /// What is wrong with the store.
         source: StoreError,
     },
     /// The store on a simulated disk cannot be read.
@@ -32,14 +32,14 @@
 }
 
 impl OpenError {
-    /// Names the file of a store that cannot be used.
+    /// Returns a function that adds the file's name to a store error.
     pub(super) fn in_file(file: &str) -> impl FnOnce(StoreError) -> OpenError + use<> {
         let file = file.to_owned();
         move |source| OpenError::Store { file, source }
     }
 }
 
-/// What is wrong with a store.
+/// Why the store in a file or on a simulated disk cannot be used.
 #[derive(Debug, Error)]
 pub enum StoreError {
     /// The file is not a usable database.
@@ -51,7 +51,7 @@
     /// A record is corrupt.
     #[error("record {key}: {source}")]
     CorruptRecord {
-        /// Its name.
+        /// The record's name.
         key: &'static str,
         /// What is wrong with it.
         source: CorruptRecord,
@@ -59,32 +59,32 @@
     /// A log entry is corrupt.
     #[error("log entry {index}: {source}")]
     CorruptEntry {
-        /// Its index.
+        /// The entry's log index.
         index: u64,
         /// What is wrong with it.
         source: CorruptRecord,
     },
-    /// The store has a log, and no identity.
-    #[error("record identity: missing, though there is a log")]
+    /// The store has log entries but no identity.
+    #[error("record identity is missing although there are log entries")]
     MissingIdentity,
-    /// The store has the metadata of a snapshot, and no state.
-    #[error("record snapshot state: missing")]
+    /// The store has the metadata of a snapshot but not its state.
+    #[error("record snapshot state is missing although there is snapshot metadata")]
     MissingSnapshotState,
     /// A new record cannot be encoded.
     #[error(transparent)]
     Encode(#[from] EncodeError),
-    /// A new store cannot be numbered.
+    /// No random number is available for the identifier of a new store.
     #[error(transparent)]
     Entropy(#[from] EntropyError),
     /// The folder cannot be synced.
     #[error(transparent)]
     SyncFolder(io::Error),
     /// The writer's thread cannot be started.
-    #[error("no thread: {0}")]
+    #[error("cannot start the writer's thread: {0}")]
     Thread(#[source] io::Error),
 }
 
-/// Why something was not written. It is cloned for all that wait for the same sync.
+/// Why a job was not written. It is cloned for each job of the failed transaction.
 #[derive(Clone, Debug, Error)]
 pub enum WriteError {
     /// The writer has ended.
@@ -93,9 +93,9 @@
     /// The database cannot be written.
     #[error("{file}: {source}")]
     Database {
-        /// The file, or the simulator's name for a disk.
+        /// The path of the file, or `simulated disk`.
         file: String,
-        /// Why.
+        /// Why it cannot be written.
         source: Arc<redb::Error>,
     },
     /// The record cannot be encoded.
--- a/crates/cluster/src/disk/mod.rs
+++ b/crates/cluster/src/disk/mod.rs
@@ -1,22 +1,23 @@
-//! The disk of a head, as one redb file: the identity of its store, its vote, the log, the last snapshot, and what it
-//! received as a follower.
+//! The store of a head, one redb file: the store's identity, its vote, the Raft log, the last snapshot, and
+//! the view that the head received as a follower.
 //!
-//! One writer owns the file. It writes whatever jobs wait as one transaction, so that they share one sync; nobody else
-//! waits for a disk. All records are checksummed ([`record`]) and read at the start, where a corrupt one is an error.
+//! One writer thread owns the file, so that no other thread blocks on the disk. It writes all queued jobs in
+//! one transaction, which needs one sync. All records have a checksum ([`record`]) and are read when the
+//! store is opened; a corrupt record is an error.
 //!
 //! - `open`: opens a store and begins its next incarnation
-//! - `contents`: what a store contains, and how it is read and replaced
+//! - `contents`: the contents of a store, and functions that read and replace them
 //! - `writer`: jobs, transactions and syncs
 //! - `error`: typed errors
 //!
-//! The rest of the crate writes through [`Disk`] and never touches the file.
+//! The rest of the crate writes through [`Disk`] and does not access the file.
 
 mod contents;
 mod error;
 mod open;
 mod writer;
 
-pub use contents::{Identity, OpenedStore, replace};
+pub use contents::{Identity, OpenedStore, replace_contents};
 pub use error::{OpenError, StoreError, WriteError};
 pub use open::{open, open_database, open_in_simulator};
 pub use writer::SyncTimes;
@@ -29,7 +30,7 @@
 use tokio::sync::{mpsc, oneshot};
 use writer::{Job, JobDone};
 
-/// Names of the records beside the log. They are part of the disk format.
+/// Keys of the records other than log entries. They are part of the disk format.
 pub(crate) mod key {
     /// The identity of the store.
     pub const IDENTITY: &str = "identity";
@@ -41,30 +42,31 @@
     pub const PURGED: &str = "purged";
     /// Metadata of the last snapshot.
     pub const SNAPSHOT_META: &str = "snapshot";
-    /// State in the last snapshot.
+    /// State of the last snapshot.
     pub const SNAPSHOT_STATE: &str = "state";
     /// Watermarks of other stores.
     pub const WATERMARKS: &str = "memory";
-    /// The view of a follower.
+    /// The view that this head received as a follower.
     pub const VIEW: &str = "view";
 }
 
-/// Kills the process in tests that name this point; a build for service has no such points.
-pub fn crash_point(name: &str) {
+/// A failpoint. A test can activate it by name, to abort the process (`return`) or to delay it (`sleep`). It
+/// does nothing in builds without the `failpoints` feature of the crate `fail`.
+pub fn failpoint(name: &str) {
     let _ = name;
     fail::fail_point!(name, |_| std::process::abort());
 }
 
-/// The handle by which all others write to the store.
+/// The handle through which the other tasks write to the store.
 #[derive(Clone)]
 pub struct Disk {
     jobs: mpsc::Sender<Job>,
-    /// Times of syncs since the start.
+    /// Durations of writes since the start.
     pub sync_times: Arc<SyncTimes>,
 }
 
 impl Disk {
-    /// Hands a job to the writer and waits until it is synced.
+    /// Queues a job and waits until the writer has synced it.
     async fn run(&self, job: impl FnOnce(JobDone) -> Job) -> Result<(), WriteError> {
         let (done, synced) = oneshot::channel();
         self.jobs.send(job(done)).await.map_err(|_| WriteError::WriterEnded)?;
@@ -74,7 +76,7 @@
     /// Writes a small record and syncs it.
     ///
     /// # Errors
-    /// It cannot be encoded or written, or the writer has ended.
+    /// The record cannot be encoded or written, or the writer has ended.
     pub async fn put<T: Serialize>(
         &self,
         record_type: RecordType,
@@ -85,10 +87,10 @@
         self.run(|done| Job::Put(key, bytes, done)).await
     }
 
-    /// Appends log entries; `flushed` is called when they are synced.
+    /// Queues log entries to be appended; `flushed` is called when they are synced.
     ///
     /// # Errors
-    /// They cannot be encoded, or the writer has ended. A failed write is reported to `flushed`.
+    /// The entries cannot be encoded, or the writer has ended. A failed write is reported to `flushed`.
     pub async fn append(&self, entries: &[Entry], flushed: LogFlushed<RaftTypes>) -> Result<(), WriteError> {
         let sealed =
             entries.iter().map(|entry| Ok((entry.log_id.index, record::seal(RecordType::Entry, entry)?)));
@@ -97,8 +99,8 @@
         self.jobs.send(job).await.map_err(|_| WriteError::WriterEnded)
     }
 
-    /// Writes a record that could be collected anew from other heads: at some time, without a sync of its own. Nobody
-    /// learns of a failure.
+    /// Queues a record to be written without a sync of its own, and ignores errors. For records whose latest
+    /// value may be lost in a crash, because it can be collected from other heads again.
     pub async fn put_without_sync<T: Serialize>(
         &self,
         record_type: RecordType,
@@ -110,27 +112,27 @@
         }
     }
 
-    /// Removes log entries from an index on.
+    /// Removes the log entries from an index on.
     ///
     /// # Errors
-    /// They cannot be removed, or the writer has ended.
+    /// The entries cannot be removed, or the writer has ended.
     pub async fn truncate(&self, from: u64) -> Result<(), WriteError> {
         self.run(|done| Job::Truncate(from, done)).await
     }
 
-    /// Removes log entries up to this one, which the snapshot contains.
+    /// Removes the log entries up to and including `up_to`, which the snapshot contains.
     ///
     /// # Errors
-    /// They cannot be removed, or the writer has ended.
-    pub async fn purge(&self, upto: LogId) -> Result<(), WriteError> {
-        let position = record::seal(RecordType::Position, &upto)?;
-        self.run(|done| Job::Purge(upto.index, position, done)).await
+    /// The entries cannot be removed, or the writer has ended.
+    pub async fn purge(&self, up_to: LogId) -> Result<(), WriteError> {
+        let position = record::seal(RecordType::Position, &up_to)?;
+        self.run(|done| Job::Purge(up_to.index, position, done)).await
     }
 
     /// Replaces the last snapshot.
     ///
     /// # Errors
-    /// It cannot be encoded or written, or the writer has ended.
+    /// The snapshot cannot be encoded or written, or the writer has ended.
     pub async fn put_snapshot(&self, meta: &SnapshotMeta, state: &Vec<u8>) -> Result<(), WriteError> {
         let meta = record::seal(RecordType::SnapshotHead, meta)?;
         let state = record::seal(RecordType::Snapshot, state)?;
--- a/crates/cluster/src/disk/open.rs
+++ b/crates/cluster/src/disk/open.rs
@@ -1,4 +1,4 @@
-//! Opening a store and beginning its next incarnation.
+//! Opens a store and begins its next incarnation.
 
 use super::contents::OpenedStore;
 use super::error::{OpenError, StoreError};
@@ -12,16 +12,17 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
 
-/// The file's name in its folder.
+/// Name of the store's file in its folder.
 const FILE: &str = "fleet.redb";
 /// Memory that redb may use as a cache, in bytes.
 const CACHE_BYTES: usize = 1 << 20;
-/// Jobs that wait for the writer, at most; past it their senders wait.
+/// Capacity of the writer's queue of jobs; senders wait while it is full.
 const MAX_WAITING_JOBS: usize = 1024;
 /// The name of a simulated disk in error messages.
-const SIMULATED_DISK: &str = "a disk of a World";
+const SIMULATED_DISK: &str = "simulated disk";
 
-/// Opens the store in a folder, or creates it, and begins its next incarnation, with the writer on a thread of its own.
+/// Opens or creates the store in a folder, begins its next incarnation, and starts the writer on its own
+/// thread.
 ///
 /// # Errors
 /// The folder or the file cannot be used, or a record is corrupt; the text names the file and the record.
@@ -38,7 +39,7 @@
     Ok((disk, opened))
 }
 
-/// Opens the file in a folder, or creates it, and reads all that it contains, without beginning an incarnation.
+/// Opens or creates the store in a folder and reads its contents, without beginning an incarnation.
 ///
 /// # Errors
 /// The file cannot be used, or a record is corrupt; the text names the file and the record.
@@ -50,8 +51,8 @@
     Ok((database, opened))
 }
 
-/// Opens a store on a simulated disk, and begins its next incarnation. The writer is a task of the simulator's runtime;
-/// `sync_time` says how long each write takes.
+/// Opens a store on a simulated disk and begins its next incarnation. The writer is a task of the simulator's
+/// runtime; `sync_time` returns the simulated duration of the next write.
 ///
 /// # Errors
 /// The disk cannot be used, or a record is corrupt.
@@ -77,12 +78,12 @@
 
 fn builder() -> Builder {
     let mut builder = Database::builder();
-    // Guards against a file that was altered.
+    // A full check when the file is opened finds files that were damaged or altered.
     builder.set_cache_size(CACHE_BYTES).set_check_integrity_on_open(true);
     builder
 }
 
-/// Counts up the incarnation of a store and syncs it.
+/// Increments the incarnation of a store, syncs it and creates the writer.
 fn begin_incarnation(
     database: Database,
     mut opened: OpenedStore,
@@ -99,7 +100,7 @@
     Ok((Disk { jobs, sync_times }, writer, opened))
 }
 
-/// Syncs a folder. Guards against a file whose directory entry is not on the disk: it would vanish with a loss of power.
+/// Syncs a folder, so that the directory entry of a new file survives a power failure.
 fn sync_folder(folder: &Path) -> io::Result<()> {
     std::fs::File::open(folder)?.sync_all()
 }
--- a/crates/cluster/src/disk/writer.rs
+++ b/crates/cluster/src/disk/writer.rs
@@ -1,9 +1,9 @@
-//! The writer of a store: it owns the database, writes the jobs that wait as one transaction, and reports to those that
-//! wait for them.
+//! The writer of a store. It owns the database, writes all queued jobs in one transaction, and reports the
+//! result to the sender of each job.
 
 use super::contents::{LOG, META};
 use super::error::WriteError;
-use super::{crash_point, key};
+use super::{failpoint, key};
 use crate::types::RaftTypes;
 use openraft::storage::LogFlushed;
 use redb::{Database, Durability};
@@ -13,19 +13,20 @@
 use std::time::Instant;
 use tokio::sync::{mpsc, oneshot};
 
-/// Jobs that share one sync, at most.
+/// Maximum number of jobs in one transaction.
 const MAX_BATCH: usize = 512;
 
-/// Notifies whoever waits for a job.
+/// Reports the result of a job to its sender.
 pub(super) type JobDone = oneshot::Sender<Result<(), WriteError>>;
 
-/// Something to be written. Records are sealed already.
+/// A write to the store. Its records are already encoded and have their checksums.
 pub(super) enum Job {
     /// Append these log entries, each with its index.
     Append(Vec<(u64, Vec<u8>)>, LogFlushed<RaftTypes>),
     /// Put a record under a key.
     Put(&'static str, Vec<u8>, JobDone),
-    /// Put a record that is worth keeping, and not worth a sync: the committed position, and watermarks.
+    /// Put a record without a sync of its own, because its latest value may be lost in a crash: the committed
+    /// position and the watermarks.
     PutWithoutSync(&'static str, Vec<u8>),
     /// Remove log entries from an index on.
     Truncate(u64, JobDone),
@@ -36,11 +37,12 @@
 }
 
 impl Job {
-    /// Reports the result to whoever waits for the job.
+    /// Reports the result to the job's sender.
     fn finish(self, result: &Result<(), WriteError>) {
         match self {
             Job::Append(_, flushed) => {
-                // The text alone, as the consensus library would append the sources to it a second time.
+                // Only the text is passed on: it contains the sources, which the consensus library would
+                // append again.
                 let result = result.as_ref().map_err(|error| io::Error::other(error.to_string()));
                 flushed.log_io_completed(result.copied());
             }
@@ -53,7 +55,7 @@
     }
 }
 
-/// Times of syncs since the start, written by the writer and read by others.
+/// Durations of write transactions since the start, recorded by the writer.
 #[derive(Debug, Default)]
 pub struct SyncTimes {
     count: AtomicU64,
@@ -68,17 +70,17 @@
         self.longest_us.fetch_max(time_us, Ordering::Relaxed);
     }
 
-    /// How many syncs there were, and the longest and the mean time of one in microseconds.
+    /// The number of write transactions, and the longest and the mean duration in microseconds.
     pub fn summary(&self) -> (u64, u64, u64) {
         let (count, total_us) = (self.count.load(Ordering::Relaxed), self.total_us.load(Ordering::Relaxed));
         (count, self.longest_us.load(Ordering::Relaxed), total_us / count.max(1))
     }
 }
 
-/// The one that writes.
+/// Writes jobs to the database.
 pub(super) struct Writer {
     database: Database,
-    /// The file's name for messages.
+    /// The file's name in error messages.
     file: String,
     waiting: mpsc::Receiver<Job>,
     sync_times: Arc<SyncTimes>,
@@ -94,7 +96,7 @@
         Writer { database, file, waiting, sync_times }
     }
 
-    /// Writes on the calling thread until all handles are dropped.
+    /// Writes jobs on the calling thread until all handles are dropped.
     pub(super) fn run(mut self) {
         while let Some(first) = self.waiting.blocking_recv() {
             self.write_batch(first);
@@ -106,7 +108,7 @@
         self.waiting.recv().await
     }
 
-    /// Writes a job and whatever waits behind it, syncs them together, and reports to those that wait.
+    /// Writes a job together with queued jobs in one transaction, and reports the result to their senders.
     pub(super) fn write_batch(&mut self, first: Job) {
         let mut jobs = vec![first];
         while jobs.len() < MAX_BATCH
@@ -120,7 +122,7 @@
         let result = written
             .map_err(|error| WriteError::Database { file: self.file.clone(), source: Arc::new(error) });
         if let Err(error) = &result {
-            tracing::error!("fleet: {error}");
+            tracing::error!("fleet: cannot write to the store: {error}");
         }
         for job in jobs {
             job.finish(&result);
@@ -130,11 +132,12 @@
 
 /// Writes jobs in their order as one transaction, with one sync.
 pub(super) fn write(database: &Database, jobs: &[Job]) -> Result<(), redb::Error> {
-    crash_point("a slow disk");
+    failpoint("a slow disk");
     fail::fail_point!("a full disk", |_| Err(redb::Error::Io(io::ErrorKind::StorageFull.into())));
     let mut transaction = database.begin_write()?;
-    // Guards against a commit that vanishes: with one phase, a store that was killed and of which one page is corrupt is
-    // silently rolled back to the commit before, and what was acknowledged since is lost.
+    // Quick repair makes redb commit in two phases. With one phase, redb silently rolls a store back to the
+    // previous commit if the process was killed and a page is corrupt, and acknowledged entries would be
+    // lost.
     transaction.set_quick_repair(true);
     if jobs.iter().all(|job| matches!(job, Job::PutWithoutSync(..))) {
         transaction.set_durability(Durability::None)?;
@@ -152,8 +155,8 @@
                     drop(meta.insert(key, bytes.as_slice())?);
                 }
                 Job::Truncate(from, _) => log.retain_in::<u64, _>(*from.., |_, _| false)?,
-                Job::Purge(upto, position, _) => {
-                    log.retain_in::<u64, _>(..=*upto, |_, _| false)?;
+                Job::Purge(up_to, position, _) => {
+                    log.retain_in::<u64, _>(..=*up_to, |_, _| false)?;
                     meta.insert(key::PURGED, position.as_slice())?;
                 }
                 Job::Snapshot(snapshot_meta, state, _) => {
@@ -163,8 +166,8 @@
             }
         }
     }
-    crash_point("before the sync");
+    failpoint("before the sync");
     transaction.commit()?;
-    crash_point("after the sync");
+    failpoint("after the sync");
     Ok(())
 }
--- a/crates/cluster/src/election.rs
+++ b/crates/cluster/src/election.rs
@@ -1,7 +1,7 @@
-//! Elections as a voter runs them: answers to pre-votes, pre-votes of its own, and campaigns.
+//! Elections: responding to pre-votes, requesting pre-votes, and campaigning.
 //!
-//! When to campaign is decided by [`Election`](sedgerun_replication::election::Election); votes are counted by the
-//! consensus library.
+//! [`Election`](sedgerun_replication::election::Election) decides when to campaign; the consensus library
+//! counts the votes.
 
 use crate::environment::now;
 use crate::member::Member;
@@ -15,26 +15,26 @@
 use std::time::Duration;
 use tokio::task::JoinSet;
 
-/// Time for the answer to a pre-vote.
+/// Timeout of a pre-vote request.
 const PRE_VOTE_TIMEOUT: Duration = Duration::from_millis(200);
-/// Time between checks of whether to campaign; a heartbeat in between puts that off.
+/// Interval between checks of whether to campaign.
 const ELECTION_POLL: Duration = Duration::from_millis(50);
 
 impl Member {
-    /// The answer to a pre-vote: whether this voter hears from no leader, and would not reject a candidate whose log ends
-    /// at this position.
-    pub fn is_silent(&self, last: Option<LogId>) -> bool {
-        // Guards against split votes on slow disks: while this voter writes a vote, another that campaigned would request
-        // a newer one before this one is counted.
-        let is_free = self.may_vote() && !self.log.has_unsynced_vote();
-        is_free && !self.leads() && !self.election().hears_leader(now()) && last >= self.log.last()
+    /// Whether this voter grants a pre-vote: it has no recent heartbeat of a leader, and would vote for a
+    /// candidate whose log ends at the position `last`.
+    pub fn grants_pre_vote(&self, last: Option<LogId>) -> bool {
+        // While this voter's own vote is being written, another campaign would request a newer vote before
+        // this one is counted. On slow disks such campaigns would split the votes.
+        let may_vote_now = self.may_vote() && !self.log.has_unsynced_vote();
+        may_vote_now && !self.leads() && !self.election().hears_leader(now()) && last >= self.log.last()
     }
 
     fn may_vote(&self) -> bool {
-        self.has_recovered.load(Ordering::SeqCst) && !self.links.is_rolled_back()
+        self.has_recovered.load(Ordering::SeqCst) && !self.network.is_rolled_back()
     }
 
-    /// Campaigns when it is time, for as long as the future is polled.
+    /// Checks periodically whether to campaign, and campaigns. Never returns.
     pub async fn run_elections(self: Arc<Self>) {
         loop {
             tokio::time::sleep(ELECTION_POLL).await;
@@ -45,7 +45,7 @@
     async fn run_election_step(&self) {
         let metrics = self.raft.metrics().borrow().clone();
         if metrics.state == ServerState::Leader {
-            // A leader receives its own heartbeats, whether or not others do.
+            // A leader counts as having received its own heartbeat, whether or not the other voters respond.
             self.election().on_heartbeat(now());
             return;
         }
@@ -72,22 +72,23 @@
 
     async fn run_pre_vote(&self, round: u64, recipients: Vec<(StoreId, VoterAddress)>) {
         let last = self.log.last();
-        let mut answers = JoinSet::new();
+        let mut responses = JoinSet::new();
         for (store, voter) in recipients {
-            let Some(to) = self.links.route(&voter.head, &voter.address) else { continue };
-            let links = self.links.clone();
-            answers.spawn(async move {
-                match links.request(to, &PeerRequest::PreVote(last), PRE_VOTE_TIMEOUT).await {
-                    // Guards against the answer of another store under the voter's address.
-                    Ok(PeerResponse::PreVote(from, is_silent)) => from == store && is_silent,
+            let Some(to) = self.network.route(&voter.head, &voter.address) else { continue };
+            let network = self.network.clone();
+            responses.spawn(async move {
+                match network.request(to, &PeerRequest::PreVote(last), PRE_VOTE_TIMEOUT).await {
+                    // Another store may respond at the voter's address.
+                    Ok(PeerResponse::PreVote(from, is_granted)) => from == store && is_granted,
                     _ => false,
                 }
                 .then_some(store)
             });
         }
-        while let Some(answer) = answers.join_next().await {
-            let Ok(Some(store)) = answer else { continue };
-            // Guards against a campaign that overtakes a vote given to another while the answers arrived.
+        while let Some(response) = responses.join_next().await {
+            let Ok(Some(store)) = response else { continue };
+            // While the responses arrived, this voter may have voted for another candidate; that vote comes
+            // first.
             if self.log.has_unsynced_vote() {
                 return self.election().on_unsynced_vote();
             }
@@ -99,9 +100,9 @@
     }
 
     async fn campaign(&self) {
-        tracing::info!("fleet: no leader is heard; campaigning");
+        tracing::info!("fleet: no heartbeat from a leader; starting an election");
         if let Err(error) = self.raft.trigger().elect().await {
-            tracing::warn!("fleet: cannot campaign: {error}");
+            tracing::warn!("fleet: cannot start an election: {error}");
         }
     }
 }
--- a/crates/cluster/src/environment.rs
+++ b/crates/cluster/src/environment.rs
@@ -1,8 +1,8 @@
-//! What a cluster node takes from its environment: the time, random numbers, and connections. In a simulation all three
-//! come from the simulator.
+//! The environment of a cluster node: clock, random numbers and transport. In a simulation, the simulator
+//! provides all three.
 //!
-//! The simulator's clock and random numbers belong to the thread that runs it ([`Simulator`]); on all other threads the
-//! operating system's are used.
+//! The simulator's clock and random numbers apply to the thread that runs it ([`Simulator`]); all other
+//! threads use those of the operating system.
 
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::Rng;
@@ -20,9 +20,9 @@
 /// A byte stream to another head.
 pub trait Stream: AsyncRead + AsyncWrite + Unpin + Send + Sync {}
 impl<T: AsyncRead + AsyncWrite + Unpin + Send + Sync> Stream for T {}
-/// A connection to another head, over whatever transport.
+/// A connection to another head over any transport.
 pub type Connection = Box<dyn Stream>;
-/// A connection that is being made.
+/// A connection attempt in progress.
 pub type DialFuture = Pin<Box<dyn Future<Output = io::Result<Connection>> + Send>>;
 
 /// A transport that makes connections to other heads.
@@ -31,7 +31,7 @@
     fn dial(&self, to: SocketAddr) -> DialFuture;
 }
 
-/// The transport over TCP.
+/// Makes connections over TCP.
 #[derive(Debug)]
 pub struct Tcp;
 
@@ -45,16 +45,16 @@
     }
 }
 
-/// The clock and the random numbers of a simulator; all its heads run on one thread.
+/// The clock and the random numbers of a simulator. All its heads run on one thread.
 pub struct Simulator {
-    begun: tokio::time::Instant,
+    started_at: tokio::time::Instant,
     rng: ChaCha8Rng,
 }
 
 impl Simulator {
-    /// Begins a simulation on this thread: its clock starts now, and random numbers come from this generator.
+    /// Begins a simulation on this thread: its clock starts at 0 now, and `rng` generates the random numbers.
     pub fn begin(rng: ChaCha8Rng) {
-        SIMULATOR.set(Some(Simulator { begun: tokio::time::Instant::now(), rng }));
+        SIMULATOR.set(Some(Simulator { started_at: tokio::time::Instant::now(), rng }));
     }
 
     /// Ends the simulation on this thread.
@@ -67,11 +67,11 @@
     static SIMULATOR: RefCell<Option<Simulator>> = const { RefCell::new(None) };
 }
 
-/// Milliseconds since the machine started, on a clock that runs on while a process is stopped or the machine sleeps, and
-/// that cannot be set. In a simulation: since its beginning.
+/// Monotonic time in milliseconds since the machine started; in a simulation, since it began. The clock
+/// continues while the process is stopped or the machine sleeps, and cannot be set.
 pub fn now() -> Millis {
     let simulator = SIMULATOR.with_borrow(|simulator| {
-        simulator.as_ref().map(|simulator| simulator.begun.elapsed().as_millis() as Millis)
+        simulator.as_ref().map(|simulator| simulator.started_at.elapsed().as_millis() as Millis)
     });
     simulator.unwrap_or_else(|| {
         let now = clock_gettime(ClockId::Boottime);
@@ -79,12 +79,12 @@
     })
 }
 
-/// The operating system has no random numbers.
+/// The operating system's random numbers cannot be read.
 #[derive(Debug, Error)]
 #[error("/dev/urandom: {0}")]
 pub struct EntropyError(#[source] io::Error);
 
-/// A random number, from the operating system or from the simulator.
+/// Returns a random number from the operating system, or from the simulator of this thread.
 ///
 /// # Errors
 /// The operating system's source cannot be read.
--- a/crates/cluster/src/follow.rs
+++ b/crates/cluster/src/follow.rs
@@ -1,7 +1,8 @@
-//! Following, as a head without a vote does: it polls an upstream for updates and applies them.
+//! Following: a head without a vote polls an upstream for updates and applies them.
 //!
-//! Which head to poll and what to accept is decided by [`Follower`](sedgerun_replication::follow::Follower); here are the
-//! connections, the requests in the form that each upstream knows, and the saving of what was received.
+//! [`Follower`](sedgerun_replication::follow::Follower) decides which head to poll and which responses to
+//! accept. This module makes the connections, sends the requests in the form that each upstream supports, and
+//! saves the received view.
 
 use crate::disk::key;
 use crate::environment::now;
@@ -22,65 +23,67 @@
 use thiserror::Error;
 use tokio::time::Instant;
 
-/// A voter without a heartbeat of a leader for this long, in milliseconds, polls others to learn whether it still votes.
-const LEADER_SILENCE_MS: u64 = 2000;
-/// Time between checks of whether to follow.
+/// A voter that has received no leader's heartbeat for this long, in milliseconds, polls other heads to learn
+/// whether it has been removed from the voters.
+const LEADER_CONTACT_TIMEOUT_MS: u64 = 2000;
+/// Interval between checks of whether to follow.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
-/// The shortest sleep between two steps of the follower.
+/// Minimum sleep between two steps of the follower.
 const MIN_SLEEP: Duration = Duration::from_millis(5);
-/// Time between polls in which a follower reports its subtree to an upstream of an earlier version.
+/// Interval at which a follower reports its own followers to an upstream of an earlier version.
 const REPORT_INTERVAL: Duration = Duration::from_secs(1);
-/// The shortest time between two writes of the view.
+/// Minimum pause between two writes of the view.
 const SAVE_INTERVAL: Duration = Duration::from_secs(1);
-/// The pause after a write of the view is at least this many times as long as the write.
+/// Minimum pause after a write of the view, as a multiple of the write's duration.
 const SAVE_COST_FACTOR: u32 = 20;
 
-/// Why a poll did not bring an update.
+/// Why a poll failed.
 #[derive(Debug, Error)]
 enum PollError {
     /// The address of the head is malformed.
-    #[error("it has no address")]
+    #[error("its address is malformed")]
     NoAddress,
     /// The head cannot be reached, or rejects this one.
     #[error(transparent)]
     Dial(io::Error),
-    /// The head did not answer.
+    /// The head did not respond.
     #[error(transparent)]
     Request(#[from] RequestError),
-    /// The head refuses the poll, for this reason.
+    /// The head rejected the poll, for this reason.
     #[error("{0}")]
-    Refused(String),
+    PollRejected(String),
     /// The response does not fit the request.
-    #[error("an answer to something else")]
+    #[error("unexpected type of response")]
     UnexpectedResponse,
-    /// The head's cluster is not this one's, or its origin cannot be saved.
+    /// The head belongs to another cluster, or its origin cannot be saved.
     #[error(transparent)]
     Adopt(#[from] AdoptError),
-    /// The head is not followed.
+    /// This head did not accept the response.
     #[error(transparent)]
     Rejected(#[from] Rejection),
 }
 
-/// Connections to the heads that are polled, and what was sent to them.
+/// Connections to the polled heads, and what has been reported to them.
 #[derive(Default)]
 struct PollingState {
-    /// To the upstream, and to a head that is probed beside it; by name.
+    /// Connections by name: to the upstream, and to another head that is being probed.
     connections: BTreeMap<String, PeerConnection>,
     /// Heads of earlier versions, which do not know subscriptions.
     legacy: LegacyPeers,
     reporter: SummaryReporter,
-    /// The upstream that has received what the reporter sent.
+    /// Name of the upstream that has received the reporter's summaries.
     reported_to: Option<String>,
-    /// When the subtree was last reported to an upstream of an earlier version.
+    /// When this head last reported its followers to an upstream of an earlier version.
     reported_at: Option<Instant>,
 }
 
 impl Member {
-    /// Follows while this head does not vote, for as long as the future is polled.
+    /// Polls for updates while this head does not vote, or votes without contact to a leader. Never returns.
     pub async fn follow(&self) {
         let mut polling = PollingState::default();
         loop {
-            let misses_leader = self.election().leader_silence(now()) > LEADER_SILENCE_MS && !self.leads();
+            let misses_leader =
+                self.election().leader_silence(now()) > LEADER_CONTACT_TIMEOUT_MS && !self.leads();
             if self.votes() && !misses_leader {
                 polling.connections.clear();
                 tokio::time::sleep(POLL_INTERVAL).await;
@@ -98,7 +101,7 @@
                 FollowerStep::Poll(poll) => poll,
             };
             if let Err(error) = self.poll_upstream(&mut polling, &poll).await {
-                tracing::debug!("fleet: not following {}: {error}", poll.peer.head);
+                tracing::debug!("fleet: poll of {} failed: {error}", poll.peer.head);
             }
             let upstream = self.follower().upstream().map(|upstream| upstream.head.clone());
             polling.connections.retain(|head, _| Some(head) == upstream.as_ref());
@@ -114,43 +117,44 @@
                 return Err(error);
             }
         };
-        self.state_machine.update_followed(|view| self.follower().on_reply(now(), view, reply))?;
+        self.state_machine.update_follower_view(|view| self.follower().on_reply(now(), view, reply))?;
         self.check_still_voter();
         Ok(())
     }
 
-    /// Stops voting if the upstream knows newer voters without this store.
+    /// Stops voting if the upstream knows a newer set of voters without this store.
     fn check_still_voter(&self) {
         let log_index = self.state_machine.membership().log_id().map_or(0, |at| at.index);
         if self.votes() && self.follower().voters.excludes(self.raft_id(), log_index) {
-            tracing::warn!("fleet: others have taken this voter's place; it follows");
+            tracing::warn!("fleet: this head has been removed from the voters; continuing as a follower");
             self.is_removed.store(true, Ordering::SeqCst);
         }
     }
 
-    /// Sends one poll in the form that the other end knows, and reads the answer.
+    /// Sends one poll in the form that the polled head supports, and reads the response. A head that closes
+    /// the connection on a subscription is of an earlier version, and is polled again in the earlier form.
     async fn exchange(
         &self,
         polling: &mut PollingState,
         poll: &UpstreamPoll,
     ) -> Result<SubscribeReply, PollError> {
-        let to = self.links.route(&poll.peer.head, &poll.peer.address).ok_or(PollError::NoAddress)?;
+        let to = self.network.route(&poll.peer.head, &poll.peer.address).ok_or(PollError::NoAddress)?;
         let head = &poll.peer.head;
         let mut connection = match polling.connections.remove(head) {
             Some(connection) => connection,
-            None => PeerConnection::dial(&self.links, to).await.map_err(PollError::Dial)?,
+            None => PeerConnection::dial(&self.network, to).await.map_err(PollError::Dial)?,
         };
         let incarnation = connection.incarnation();
-        let mut response = Err(RequestError::Hangup);
+        let mut response = Err(RequestError::ClosedByPeer);
         if !polling.legacy.contains(now(), head, incarnation) {
             let request = self.subscription(polling, poll);
             response = connection.request(&request, response_timeout(poll.wait)).await;
-            if matches!(response, Err(RequestError::Hangup)) {
+            if matches!(response, Err(RequestError::ClosedByPeer)) {
                 polling.legacy.remember(now(), head, incarnation);
-                connection = PeerConnection::dial(&self.links, to).await.map_err(PollError::Dial)?;
+                connection = PeerConnection::dial(&self.network, to).await.map_err(PollError::Dial)?;
             }
         }
-        if matches!(response, Err(RequestError::Hangup)) {
+        if matches!(response, Err(RequestError::ClosedByPeer)) {
             let request = self.update_request(polling, poll);
             let timeout = response_timeout(poll.wait.min(RELAY_WAIT_MS));
             response = connection.request(&request, timeout).await;
@@ -164,25 +168,26 @@
         let reply = match response {
             PeerResponse::Subscribed(reply) => reply,
             PeerResponse::LegacyUpdate(origin, reply) => reply.into_subscribe_reply(origin),
-            PeerResponse::Rejected(why) => return Err(PollError::Refused(why)),
+            PeerResponse::Rejected(why) => return Err(PollError::PollRejected(why)),
             _ => return Err(PollError::UnexpectedResponse),
         };
-        // From its first update on a head belongs to that cluster and to no other.
+        // From its first update on, this head belongs to the upstream's cluster.
         if let SubscribeReply::Update(Update { route: Some(route), .. }) = &reply
             && route.origin.is_some()
         {
-            self.adopt(route.origin).await?;
+            self.adopt_origin(route.origin).await?;
         }
         Ok(reply)
     }
 
+    /// Builds the request of a poll.
     fn subscription(&self, polling: &mut PollingState, poll: &UpstreamPoll) -> PeerRequest {
         let (role, region, cached, upstream) = {
             let follower = self.follower();
             let upstream = follower.upstream().map(|upstream| upstream.head.clone());
             (follower.role(), follower.region().map(str::to_owned), follower.cached_digests(), upstream)
         };
-        // A head that is only probed does not receive the summary of the subtree.
+        // A head that is only probed does not receive the summary of this head's followers.
         let is_upstream = upstream.as_ref() == Some(&poll.peer.head);
         if is_upstream && polling.reported_to != upstream {
             polling.reporter.reset();
@@ -198,15 +203,16 @@
             first_version: poll.first_version,
             wait: poll.wait,
             cached,
-            // A voter that polls to learn whether it still votes needs an answer, not an upstream.
+            // A voter polls only to learn whether it still votes, so it needs a response and no redirect to a
+            // relay.
             bypass_relays: poll.bypass_relays || self.votes(),
             summary,
         }))
     }
 
-    /// The same poll in the form of earlier versions.
+    /// Builds the request of a poll in the form of earlier versions.
     fn update_request(&self, polling: &mut PollingState, poll: &UpstreamPoll) -> PeerRequest {
-        let own = self.links.own();
+        let own = self.network.own_greeting();
         let follower = Downstream {
             at: Peer { head: own.head, address: own.address },
             store: self.raft_id(),
@@ -227,28 +233,28 @@
         }))
     }
 
-    /// Saves the view that this head receives as a follower, for as long as the future is polled, so that at its next
-    /// start it serves clients whether or not it reaches others.
-    pub async fn save_followed(&self) {
-        let mut saved_version = self.state_machine.followed_version();
+    /// Saves the view that this head receives as a follower whenever it has changed, so that after a restart
+    /// the head can serve clients even if it reaches no other head. Never returns.
+    pub async fn save_follower_view(&self) {
+        let mut saved_version = self.state_machine.follower_view_version();
         let mut pause = SAVE_INTERVAL;
         loop {
             tokio::time::sleep(pause).await;
-            if self.state_machine.followed_version() == saved_version {
+            if self.state_machine.follower_view_version() == saved_version {
                 continue;
             }
-            let Some(followed) = self.state_machine.followed() else { continue };
+            let Some(follower_view) = self.state_machine.follower_view() else { continue };
             let begun = Instant::now();
-            if let Err(error) = self.disk.put(RecordType::View, key::VIEW, &followed).await {
-                tracing::error!("fleet: what this head holds is not written down: {error}");
+            if let Err(error) = self.disk.put(RecordType::View, key::VIEW, &follower_view).await {
+                tracing::error!("fleet: cannot save the view received as a follower: {error}");
             }
-            saved_version = followed.version;
+            saved_version = follower_view.version;
             pause = SAVE_INTERVAL.max(begun.elapsed() * SAVE_COST_FACTOR);
         }
     }
 }
 
-/// Time for the response to a poll that waits for `wait_ms` milliseconds at the other end.
+/// Timeout of a poll for which the upstream may wait `wait_ms` milliseconds before it responds.
 fn response_timeout(wait_ms: u64) -> Duration {
     Duration::from_millis(wait_ms + ANSWER_TIMEOUT_MS)
 }
--- a/crates/cluster/src/force_recovery.rs
+++ b/crates/cluster/src/force_recovery.rs
@@ -1,7 +1,8 @@
-//! Forced recovery from a lost majority: the one store that is left begins a new cluster with what it contains.
+//! Forced recovery after the majority of the voters is lost: one remaining store becomes a new cluster with
+//! the state that it contains.
 //!
-//! It works on the store of a head that is not running, and on nothing else. It first only says what may be lost, and
-//! acts once the operator has accepted that.
+//! It works on the store of a head that is not running, and contacts no other head. A first run only reports
+//! which changes may be lost; the recovery is done once the operator has accepted that.
 
 use crate::disk::{self, Identity, OpenError, OpenedStore, key};
 use crate::environment::{EntropyError, random};
@@ -25,18 +26,19 @@
     /// The state of its snapshot cannot be decoded.
     #[error(transparent)]
     Snapshot(#[from] CorruptSnapshot),
-    /// It contains nothing.
-    #[error("{}: this store holds nothing", .0.display())]
+    /// The store contains no state and no log.
+    #[error("{}: the store is empty", .0.display())]
     EmptyStore(PathBuf),
-    /// What may be lost was not accepted, or another version was.
-    #[error("{consequences} To go on: sedgerun fleet recover --lose-changes-after {version}")]
+    /// The operator has not accepted the loss of changes after the recovered version, or has given another
+    /// version.
+    #[error("{consequences} To recover: sedgerun fleet recover --lose-changes-after {version}")]
     NotAccepted {
-        /// What may be lost.
+        /// Which changes may be lost.
         consequences: String,
-        /// The version that has to be accepted.
+        /// The version that the operator has to accept.
         version: u64,
     },
-    /// There are no random numbers for a new store.
+    /// No random number is available for the identifier of the new store.
     #[error(transparent)]
     Entropy(#[from] EntropyError),
     /// A record of the new store cannot be encoded.
@@ -47,18 +49,18 @@
     Write(#[from] redb::Error),
 }
 
-/// What a store contains, as far as it can tell.
+/// The state that a store contains.
 struct RecoveredState {
     state: ReplicatedState,
-    /// Version up to which this store knows that a majority had it.
+    /// Version up to which the store knows that the changes were committed.
     committed_version: u64,
 }
 
-/// Begins a new cluster with the store of this head's settings, which must not be running. `accepted` must be the version
-/// that a call without it names. Returns what was done, for people.
+/// Begins a new cluster with the store of this head's settings; the head must not be running. `accepted` must
+/// be the version that the error of a call with `None` names. Returns a text for the operator.
 ///
 /// # Errors
-/// What may be lost, if that was not accepted; or why nothing was recovered.
+/// `accepted` is not that version ([`ForceRecoveryError::NotAccepted`]), or the store cannot be recovered.
 pub fn force_recovery(
     settings: &Settings,
     head: &str,
@@ -78,20 +80,23 @@
     let voted_term = opened.vote.map_or(0, |vote| vote.leader_id().term);
     let term = voted_term.max(last.map_or(0, |at| at.leader_id.term));
     let records = new_store(voter_address(settings, head), term, last, &recovered.state)?;
-    disk::replace(&database, &records)?;
+    disk::replace_contents(&database, &records)?;
     Ok(format!(
-        "{consequences}\nDone: {head} is a fleet of one, at version {version}; start it, then the others anew.\n"
+        "{consequences}\nDone: {head} is the only voter of a new fleet, at version {version}. Start it, then \
+         start the other heads with empty folders.\n"
     ))
 }
 
-/// All that the store contains: an entry that nobody knows to be committed may have been acknowledged all the same.
+/// Recovers all entries of the store, also those that it does not know to be committed: they may have been
+/// acknowledged.
 fn recover_state(opened: &OpenedStore) -> Result<RecoveredState, CorruptSnapshot> {
     let last_index = opened.log.keys().next_back().copied().unwrap_or(0);
     let committed_index = opened.committed.map_or(0, |at| at.index);
     let committed = state_machine::replay(opened.snapshot.clone(), &opened.log, committed_index)?;
     let state = state_machine::replay(opened.snapshot.clone(), &opened.log, last_index)?;
     if opened.followed.version > state.view.version {
-        // It has followed since: what it received is newer, and was committed.
+        // The head was a follower later on: the view that it received is newer, and contains only committed
+        // changes.
         return Ok(RecoveredState {
             committed_version: opened.followed.version,
             state: ReplicatedState::of(opened.followed.clone()),
@@ -100,13 +105,14 @@
     Ok(RecoveredState { committed_version: committed.view.version, state })
 }
 
-/// What may be lost, for the operator to accept.
+/// Describes to the operator which changes may be lost.
 fn consequences(head: &str, recovered: &RecoveredState) -> String {
     let (version, committed) = (recovered.state.view.version, recovered.committed_version);
     format!(
-        "the store of {head} holds version {version}; it knows that a majority had version {committed}. Whatever the other \
-         keepers promised after version {version} is lost, and versions {} to {version} stay though they may have \
-         been refused. The other heads' folders must be removed: their stores belong to the fleet that was.",
+        "the store of {head} holds version {version}; it knows that versions up to {committed} were \
+         committed. Changes that other voters committed after version {version} will be lost. Versions {} to \
+         {version} will be kept, although they may have been reported as failed. The folders of the other \
+         heads must be removed, because their stores belong to the old fleet.",
         (committed + 1).min(version),
     )
 }
--- a/crates/cluster/src/frame.rs
+++ b/crates/cluster/src/frame.rs
@@ -1,5 +1,5 @@
-//! Frames on a connection between heads: the length of a record (4 bytes, little-endian), then the record. Requests and
-//! responses alternate.
+//! Frames on a connection between heads: the length of a record (4 bytes, little-endian), then the record. On
+//! each connection, requests and responses alternate.
 
 use crate::environment::Connection;
 use crate::traffic::CountedStream;
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-/// The largest frame, in bytes.
+/// Maximum size of the record in a frame, in bytes.
 const MAX_FRAME_BYTES: usize = 16 << 20;
 
 /// A connection to another head whose traffic is counted.
@@ -28,7 +28,10 @@
 ) -> io::Result<()> {
     let record = record::seal(record_type, value).map_err(io::Error::other)?;
     if record.len() > MAX_FRAME_BYTES {
-        return Err(io::Error::other(format!("a frame of {} bytes is too long", record.len())));
+        return Err(io::Error::other(format!(
+            "the message of {} bytes is longer than a frame may be",
+            record.len()
+        )));
     }
     let mut frame = (record.len() as u32).to_le_bytes().to_vec();
     frame.extend(record);
@@ -47,11 +50,11 @@
 ) -> io::Result<T> {
     let length = stream.read_u32_le().await? as usize;
     if length > MAX_FRAME_BYTES {
-        let what = format!("a frame of {length} bytes");
-        return Err(io::Error::new(io::ErrorKind::InvalidData, what));
+        let reason = format!("a frame of {length} bytes is longer than the maximum of {MAX_FRAME_BYTES}");
+        return Err(io::Error::new(io::ErrorKind::InvalidData, reason));
     }
     let mut record = Vec::new();
-    // Guards against a forged length: memory grows with what really arrives.
+    // The buffer grows with the received bytes, so that a forged length does not allocate memory.
     (&mut *stream).take(length as u64).read_to_end(&mut record).await?;
     if record.len() < length {
         return Err(io::ErrorKind::UnexpectedEof.into());
@@ -63,17 +66,20 @@
 /// Sends a request and reads its response.
 ///
 /// # Errors
-/// As of [`send`] and [`receive`]; after one the connection must not be used any more.
+/// As of [`send`] and [`receive`]; after an error the connection must not be used any more.
 pub async fn exchange(stream: &mut CountedConnection, request: &PeerRequest) -> io::Result<PeerResponse> {
     send(stream, RecordType::Call, request).await?;
     receive(stream, RecordType::Reply).await
 }
 
-/// Limits the time of an operation on a connection.
+/// Limits the duration of an operation on a connection.
 ///
 /// # Errors
-/// Those of the operation, or `TimedOut` after this time.
-pub async fn within<T>(timeout: Duration, operation: impl Future<Output = io::Result<T>>) -> io::Result<T> {
+/// Those of the operation, or `TimedOut` after `timeout`.
+pub async fn with_timeout<T>(
+    timeout: Duration,
+    operation: impl Future<Output = io::Result<T>>,
+) -> io::Result<T> {
     let timed_out = |_| Err(io::Error::from(io::ErrorKind::TimedOut));
     tokio::time::timeout(timeout, operation).await.unwrap_or_else(timed_out)
 }
--- a/crates/cluster/src/handle/metrics.rs
+++ b/crates/cluster/src/handle/metrics.rs
@@ -1,13 +1,13 @@
-//! Figures of the cluster for `show-stat`. Their names are part of what operators read.
+//! Metrics of the cluster for `show-stat`. Operators' tools read them by name.
 
 use super::ClusterHandle;
 
-/// Names of the traffic between this head and others of the cluster.
+/// Metric names of the traffic between this head and other heads.
 const CLUSTER_TRAFFIC: [&str; 4] =
     ["fleet_bytes_received", "fleet_bytes_sent", "fleet_messages_received", "fleet_messages_sent"];
 
 impl ClusterHandle {
-    /// The state of this head's part in the cluster, as pairs of a metric's name and its value.
+    /// The metrics of this head's node, as pairs of name and value.
     pub fn metrics(&self) -> Vec<(&'static str, u64)> {
         let status = self.member.status();
         let distribution = self.member.distribution();
@@ -17,7 +17,7 @@
             ("fleet_term", status.term),
             ("fleet_is_leader", u64::from(status.role == "leader")),
             ("fleet_is_voter", votes),
-            // Deprecated spelling of `fleet_is_voter`, for one release more.
+            // Deprecated name of `fleet_is_voter`; the next release drops it.
             ("fleet_is_keeper", votes),
             ("fleet_stopped", u64::from(status.role == "stopped")),
             ("fleet_version", status.version),
--- a/crates/cluster/src/handle/mod.rs
+++ b/crates/cluster/src/handle/mod.rs
@@ -1,10 +1,11 @@
 //! The serving thread's handle of the cluster.
 //!
-//! The cluster runs on a thread of its own, so that a slow disk or a busy election never delays clients. The handle reads
-//! the replicated state, requests changes, and waits for versions; it never writes the state itself.
+//! The cluster's node runs on its own thread, so that a slow disk or an election does not delay clients. The
+//! handle reads the replicated state, requests changes and waits for versions; it does not write the state
+//! itself.
 //!
-//! - `start`: the thread and its runtime
-//! - `metrics`: figures for `show-stat`
+//! - `start`: starts the thread and its runtime
+//! - `metrics`: metrics for `show-stat`
 
 mod metrics;
 mod start;
@@ -26,19 +27,19 @@
 use tokio::runtime::Handle;
 use tokio::sync::watch;
 
-/// Time that a committed change may take until this head serves clients with it.
+/// Time limit for waiting until this head serves clients with a committed version.
 const SERVING_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// The serving thread's handle of the cluster.
 pub struct ClusterHandle {
     runtime: Handle,
     member: Arc<Member>,
-    /// The version with which this head serves clients.
+    /// The version of the replicated state with which this head serves clients; 0 at the start.
     serving_version: watch::Sender<u64>,
 }
 
 impl ClusterHandle {
-    /// Opens the store and joins the cluster, on a thread of its own.
+    /// Opens the store and starts the node on its own thread.
     ///
     /// # Errors
     /// The store or the listening address cannot be used; the text names the file or the setting.
@@ -47,7 +48,7 @@
         Ok(ClusterHandle { runtime, member, serving_version: watch::Sender::new(0) })
     }
 
-    /// The handle of a node that runs in the current runtime.
+    /// Creates a handle of a node that runs in the current runtime.
     pub fn of(node: &Node) -> ClusterHandle {
         ClusterHandle {
             runtime: Handle::current(),
@@ -56,22 +57,22 @@
         }
     }
 
-    /// Makes a change: committed once it is synced at a majority of the voters. On return this head serves clients with
-    /// it, unless that takes longer than `SERVING_TIMEOUT`.
+    /// Commits a change: a majority of the voters has synced it. On return this head serves clients with the
+    /// change, unless that takes longer than `SERVING_TIMEOUT`.
     ///
     /// # Errors
-    /// It was not committed in time; it may still be.
+    /// The change was not committed in time; it may still be committed later.
     pub async fn change(&self, change: Change) -> Result<ChangeOutcome, ClusterRequestError> {
         let member = Arc::clone(&self.member);
         let outcome = self.on_cluster_thread(async move { member.change(change).await }).await?;
         if let ChangeOutcome::Done { version, .. } = outcome {
-            // It is committed, whether or not this head serves clients with it in time.
+            // The change is committed, so a timeout here is no error.
             let _ = self.wait_until_serving(version).await;
         }
         Ok(outcome)
     }
 
-    /// Bans a backend at all heads, or lifts that ban.
+    /// Bans a backend on all heads, or removes the ban.
     ///
     /// # Errors
     /// As of [`change`](ClusterHandle::change).
@@ -82,20 +83,22 @@
         self.change(change).await
     }
 
-    /// Waits until this head serves clients with all that was committed when this was called; returns the version.
+    /// Waits until this head serves clients with all changes that were committed when this was called;
+    /// returns the version that it serves then.
     ///
     /// # Errors
-    /// It did not come that far in time.
+    /// No leader confirmed a version, or this head did not serve it in time.
     pub async fn wait_for_latest(&self) -> Result<u64, ClusterRequestError> {
         let member = Arc::clone(&self.member);
         let version = self.on_cluster_thread(async move { member.wait_for_latest().await }).await?;
         self.wait_until_serving(version).await
     }
 
-    /// Waits until this head serves clients with a version; returns the version.
+    /// Waits until this head serves clients with `version` or a later one; returns the version that it serves
+    /// then.
     ///
     /// # Errors
-    /// It did not come that far in time.
+    /// This head did not serve the version in time.
     pub async fn wait_for_version(&self, version: u64) -> Result<u64, ClusterRequestError> {
         let member = Arc::clone(&self.member);
         self.on_cluster_thread(async move { member.wait_for_version(version, SERVING_TIMEOUT).await })
@@ -103,29 +106,29 @@
         self.wait_until_serving(version).await
     }
 
-    /// The version with which this head serves clients.
+    /// The version of the replicated state with which this head serves clients.
     pub fn serving_version(&self) -> u64 {
         *self.serving_version.borrow()
     }
 
-    /// The version at which a tenant was last changed; 0 for no such tenant.
+    /// The version at which a tenant was last changed; 0 if there is no such tenant.
     pub fn tenant_version(&self, tenant: &str) -> u64 {
         self.read(|view| view.tenants.get(tenant).map_or(0, |tenant| tenant.version))
     }
 
-    /// The backends that are banned at all heads, each with the version of its ban.
+    /// The backends that are banned on all heads, each with the version of its ban.
     pub fn bans(&self) -> BTreeMap<String, u64> {
         self.read(|view| view.bans.clone())
     }
 
-    /// The version with which this head serves clients, as it changes.
+    /// Subscribes to the version with which this head serves clients.
     pub fn watch_serving_version(&self) -> watch::Receiver<u64> {
         self.serving_version.subscribe()
     }
 
-    /// The traffic between this head and others of the cluster.
+    /// The totals of the traffic between this head and other heads.
     pub fn traffic(&self) -> TrafficTotals {
-        self.member.links.traffic()
+        self.member.network.traffic()
     }
 
     /// The status of this head.
@@ -133,17 +136,17 @@
         self.member.status()
     }
 
-    /// The version of the replicated state of this head, as it changes.
+    /// Subscribes to the version of the replicated state on this head, which it may not serve yet.
     pub fn watch_replicated_version(&self) -> watch::Receiver<u64> {
         self.member.state_machine.watch_version()
     }
 
-    /// Reads the replicated state of this head; `read` must be short, as it holds a lock.
+    /// Reads the replicated state on this head. `read` must be short, as it runs under a lock.
     pub fn read<T>(&self, read: impl FnOnce(&View) -> T) -> T {
         self.member.state_machine.read(read)
     }
 
-    /// Notes that this head serves clients with a version from now on.
+    /// Records that this head serves clients with a version from now on.
     pub fn set_serving_version(&self, version: u64) {
         self.serving_version.send_replace(version);
     }
@@ -153,7 +156,7 @@
         work: impl Future<Output = Result<T, ClusterRequestError>> + Send + 'static,
     ) -> Result<T, ClusterRequestError> {
         let result = self.runtime.spawn(work).await;
-        result.unwrap_or_else(|_| Err(ClusterRequestError("the fleet's thread has ended".into())))
+        result.unwrap_or_else(|_| Err(ClusterRequestError("the cluster thread has ended".into())))
     }
 
     async fn wait_until_serving(&self, version: u64) -> Result<u64, ClusterRequestError> {
@@ -162,7 +165,7 @@
         match tokio::time::timeout(SERVING_TIMEOUT, reached).await {
             Ok(Ok(current)) => Ok(*current),
             _ => Err(ClusterRequestError(format!(
-                "this head works with version {}, not {version}",
+                "this head serves version {} and did not reach version {version} in time",
                 self.serving_version()
             ))),
         }
--- a/crates/cluster/src/handle/start.rs
+++ b/crates/cluster/src/handle/start.rs
@@ -1,4 +1,4 @@
-//! The thread of the cluster: its runtime, its listener and its node.
+//! Starts the cluster thread with its runtime, listener and node.
 
 use crate::disk::{self, Disk, OpenError, OpenedStore};
 use crate::environment::Tcp;
@@ -12,7 +12,7 @@
 use thiserror::Error;
 use tokio::runtime::Handle;
 
-/// Why a head does not join the cluster.
+/// Why the cluster thread cannot be started.
 #[derive(Debug, Error)]
 pub enum ClusterStartError {
     /// The store cannot be used.
@@ -21,19 +21,19 @@
     /// The listening address cannot be bound.
     #[error("fleet.listen: cannot bind {address}: {source}")]
     Bind {
-        /// The address of the settings.
+        /// The listening address from the settings.
         address: SocketAddr,
-        /// Why.
+        /// Why it cannot be bound.
         source: io::Error,
     },
-    /// The listener has no address.
+    /// The listener's address cannot be read.
     #[error("fleet.listen: {0}")]
     LocalAddress(#[source] io::Error),
     /// The thread cannot be started.
-    #[error("fleet: no thread: {0}")]
+    #[error("fleet: cannot start the cluster thread: {0}")]
     Thread(#[source] io::Error),
-    /// The thread has no runtime.
-    #[error("fleet: no runtime: {0}")]
+    /// The thread's runtime cannot be created.
+    #[error("fleet: cannot create the runtime of the cluster thread: {0}")]
     Runtime(#[source] io::Error),
     /// The runtime cannot use the listener.
     #[error(transparent)]
@@ -42,7 +42,7 @@
     #[error(transparent)]
     Node(#[from] StartError),
     /// The thread ended before it was ready.
-    #[error("fleet: ended at its start")]
+    #[error("fleet: the cluster thread ended during its start")]
     EndedAtStart,
 }
 
@@ -50,7 +50,7 @@
 pub(super) type StartedCluster = (Handle, Arc<Member>);
 type StartResult = Result<StartedCluster, ClusterStartError>;
 
-/// What the thread is started with.
+/// The inputs of the cluster thread.
 struct ThreadSetup {
     settings: Settings,
     head: String,
@@ -79,7 +79,7 @@
     let thread = std::thread::Builder::new().name("fleet".into());
     thread.spawn(move || run_thread(setup, &started)).map_err(ClusterStartError::Thread)?;
     let cluster = starting.recv().map_err(|_| ClusterStartError::EndedAtStart)??;
-    tracing::info!("fleet: {head} holds store {store:016x} in incarnation {incarnation}");
+    tracing::info!("fleet: {head} started with store {store:016x}, incarnation {incarnation}");
     Ok(cluster)
 }
 
@@ -89,7 +89,7 @@
     listener.map_err(|source| ClusterStartError::Bind { address, source })
 }
 
-/// Runs the cluster on this thread, after it has reported that it runs or why not.
+/// Runs the node on this thread. Before that, reports through `started` that the node runs, or why it cannot.
 fn run_thread(setup: ThreadSetup, started: &mpsc::Sender<StartResult>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = match runtime {
@@ -101,7 +101,7 @@
             Ok((node, listener)) => {
                 let _ = started.send(Ok((Handle::current(), Arc::clone(&node.member))));
                 serve::serve(Arc::clone(&node.member), listener).await;
-                // Its tasks end with it.
+                // Dropping the node aborts its tasks.
                 drop(node);
             }
             Err(error) => drop(started.send(Err(error))),
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -1,25 +1,27 @@
-//! A head's node of the cluster that replicates tenants, exports and bans: the decisions of `sedgerun_replication`,
-//! carried out with a consensus library (openraft), a disk (redb) and connections.
+//! One head's node of the cluster, which replicates tenants, exports and bans between heads.
 //!
-//! [`ClusterHandle::start`] runs a node on a thread of its own, beside the thread that serves clients. The state belongs
-//! to the node's thread; the handle reads it, requests changes, and waits for versions. The crate knows nothing of
-//! clients, backends or the administration API, and decides nothing that `sedgerun_replication` decides.
+//! `sedgerun_replication` contains the decisions as code without I/O. This crate executes them with a
+//! consensus library (openraft), an embedded database (redb) and connections to the other heads. It does not
+//! depend on clients, backends or the administration API.
 //!
-//! | module | job |
+//! [`ClusterHandle::start`] runs a node on its own thread, beside the thread that serves clients. The node's
+//! thread owns the replicated state; the handle reads the state, requests changes and waits for versions.
+//!
+//! | module | purpose |
 //! |---|---|
-//! | [`ClusterHandle`] (`handle`) | the serving thread's end: starting, reading, changing, metrics |
+//! | [`ClusterHandle`] (`handle`) | the serving thread's handle: start, reads, changes, metrics |
 //! | [`node`] | one head's node with all its tasks |
-//! | `member` | what the tasks share; requests of other heads, role, status |
-//! | `change` | changes and linearizable reads, wherever the leader is |
-//! | `election`, `recovery`, `repair` | a voter's campaigns, its recovery after a start, replacement of dead voters |
-//! | `follow`, `upstream`, `relay` | receiving updates, serving them, registration of relays |
+//! | `member` | state shared by the tasks; responses to other heads, role, status |
+//! | `change` | changes and linearizable reads, forwarded to the leader where necessary |
+//! | `election`, `recovery`, `repair` | elections, recovery of a store after a start, replacement of dead voters |
+//! | `follow`, `upstream`, `relay` | receiving updates, serving updates, registration of relays |
 //! | `state_machine`, `raft_log` | storage for the consensus library |
-//! | [`disk`] | the store: records, syncs, typed errors |
-//! | `link`, `peer_connection`, `voter_connection`, `frame`, `serve` | connections between heads |
+//! | [`disk`] | the store on disk: records, syncs, typed errors |
+//! | `peer_network`, `peer_connection`, `voter_connection`, `frame`, `serve` | connections between heads |
 //! | [`types`] | messages between heads, and the status of a head |
 //! | [`settings`] | the `(fleet ...)` form of the operator's file |
-//! | [`client`], [`force_recovery`] | `sedgerun fleet ...` on the command line |
-//! | [`environment`], [`traffic`] | clock, random numbers, transport; traffic counters |
+//! | [`client`], [`force_recovery`] | the `sedgerun fleet ...` commands |
+//! | [`environment`], [`traffic`] | clock, random numbers and transport; traffic counters |
 
 mod change;
 mod change_error;
@@ -31,11 +33,11 @@
 pub mod force_recovery;
 mod frame;
 mod handle;
-mod link;
 mod member;
 pub mod node;
 mod node_setup;
 mod peer_connection;
+mod peer_network;
 mod pending_change;
 mod raft_log;
 mod recovery;
--- a/crates/cluster/src/member/mod.rs
+++ b/crates/cluster/src/member/mod.rs
@@ -1,14 +1,14 @@
 //! One head as a member of the cluster: a voter or a follower.
 //!
-//! [`Member`] is shared by all tasks of a [`Node`](crate::node::Node). It owns the consensus library's instance, the
-//! state machine, the disk's handle, the links, and the state of each decision of `sedgerun_replication`, each behind a
-//! lock of its own that is never held across an await.
+//! [`Member`] is shared by all tasks of a [`Node`](crate::node::Node). It owns the consensus library's
+//! instance, the state machine, the disk's handle, the connections to other heads, and the state machines of
+//! `sedgerun_replication`. Each of the latter has its own lock, which is never held across an await.
 //!
-//! What a member does is spread over the crate, by concern: here `start` (building it), `respond` (requests of other
-//! heads), `origin` (beginning and joining a cluster), `role` (whether it votes or leads, and who else does) and
-//! `status`; then [`change`](crate::change), [`election`](crate::election), [`follow`](crate::follow),
-//! [`recovery`](crate::recovery), [`relay`](crate::relay), [`repair`](crate::repair) and
-//! [`upstream`](crate::upstream).
+//! The methods of a member are grouped by concern. In this module: `start` (construction), `respond`
+//! (responses to other heads), `origin` (beginning and joining a cluster), `role` (whether this head votes or
+//! leads, and which others do) and `status`. In the crate: [`change`](crate::change),
+//! [`election`](crate::election), [`follow`](crate::follow), [`recovery`](crate::recovery),
+//! [`relay`](crate::relay), [`repair`](crate::repair) and [`upstream`](crate::upstream).
 
 mod origin;
 mod respond;
@@ -21,7 +21,7 @@
 
 use crate::disk::{Disk, Identity};
 use crate::environment::now;
-use crate::link::Links;
+use crate::peer_network::PeerNetwork;
 use crate::pending_change::PendingChange;
 use crate::raft_log::RaftLog;
 use crate::settings::Settings;
@@ -37,48 +37,49 @@
 
 /// A head as a member of the cluster: a voter or a follower.
 pub struct Member {
-    /// The consensus protocol.
+    /// The consensus library's instance.
     pub raft: Raft,
     /// The replicated state.
     pub state_machine: StateMachine,
     /// Connections to other heads.
-    pub links: Links,
+    pub network: PeerNetwork,
     /// The settings of the cluster.
     pub settings: Settings,
     /// The handle of the store's writer.
     pub disk: Disk,
-    /// The log.
+    /// The Raft log.
     pub log: RaftLog,
     identity: tokio::sync::Mutex<Identity>,
-    /// Connections closed because of corrupt frames or rejected greetings.
+    /// Number of connections closed because of a corrupt frame or a rejected greeting.
     pub rejected_connections: AtomicU64,
-    /// The others have been asked for what this store acknowledged: it votes and acknowledges.
+    /// The recovery after the start has ended: this store may vote and acknowledge entries.
     pub has_recovered: AtomicBool,
-    /// This store was a voter, and others have taken its place.
+    /// This store was a voter and has been removed from the voters.
     pub is_removed: AtomicBool,
-    /// Membership changes made as leader.
+    /// Number of voter changes that this head has committed as leader.
     pub repairs: AtomicU64,
     election: Mutex<Election>,
     follower: Mutex<Follower>,
     followers: Mutex<Followers>,
     registry: Mutex<RelayRegistry>,
     transfer_permits: Mutex<TransferPermits>,
-    /// Changes that wait to be written.
+    /// Queue of changes for the task that writes batches.
     pub changes: mpsc::Sender<PendingChange>,
 }
 
-/// Guards against one panic that would end all threads that use the same state.
+/// Locks a mutex and ignores poisoning: otherwise a panic of one thread would end all threads that use the
+/// same state.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl Member {
-    /// When to campaign.
+    /// The state that decides when this voter campaigns.
     pub fn election(&self) -> MutexGuard<'_, Election> {
         lock(&self.election)
     }
 
-    /// Which upstream to follow.
+    /// The state that decides which upstream this head follows.
     pub fn follower(&self) -> MutexGuard<'_, Follower> {
         lock(&self.follower)
     }
@@ -88,7 +89,7 @@
         lock(&self.followers)
     }
 
-    /// The leases of the relays, after the registry was updated on whether this head votes.
+    /// The leases of the relays, updated for whether this head votes now.
     pub fn voting_registry(&self) -> MutexGuard<'_, RelayRegistry> {
         let votes = self.votes();
         let mut registry = lock(&self.registry);
@@ -96,7 +97,7 @@
         registry
     }
 
-    /// The large transfers to followers in progress.
+    /// The permits of large transfers to followers.
     pub fn transfer_permits(&self) -> MutexGuard<'_, TransferPermits> {
         lock(&self.transfer_permits)
     }
--- a/crates/cluster/src/member/origin.rs
+++ b/crates/cluster/src/member/origin.rs
@@ -1,4 +1,5 @@
-//! The origin of a cluster: how it begins, and how a head comes to belong to it for good.
+//! The origin of a cluster: an identifier that is derived from its first voters. A head adopts it once, when
+//! it begins or joins a cluster, and from then on belongs to that cluster only.
 
 use super::Member;
 use crate::disk::{Identity, WriteError, key};
@@ -12,11 +13,11 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// Why a head does not adopt the origin of a cluster.
+/// Why a head did not adopt the origin of a cluster.
 #[derive(Debug, Error)]
 pub enum AdoptError {
-    /// It belongs to another cluster.
-    #[error("of another origin")]
+    /// The other head does not belong to this head's cluster.
+    #[error("the heads do not belong to the same fleet")]
     OtherOrigin,
     /// The origin cannot be saved.
     #[error(transparent)]
@@ -27,38 +28,38 @@
 #[derive(Debug, Error)]
 pub enum BeginError {
     /// This head is not among the voters of its settings.
-    #[error("{0} is not among the keepers of its own settings")]
+    #[error("{0} is not listed in fleet.voters of its own settings")]
     NotAVoter(String),
     /// A voter cannot be reached, or rejects this head.
-    #[error("keeper {name} at {address}: {source}")]
+    #[error("voter {name} at {address}: {source}")]
     Unreachable {
         /// The voter's name.
         name: String,
         /// Its address.
         address: SocketAddr,
-        /// Why.
+        /// Why the greeting failed.
         source: io::Error,
     },
-    /// Another head answers at a voter's address.
-    #[error("at {address} answers {found}, not {name}")]
+    /// Another head responded at a voter's address.
+    #[error("the head at {address} is {found}, not {name}")]
     WrongHead {
         /// The voter's address.
         address: SocketAddr,
-        /// The name of the head that answers.
+        /// The name of the head that responded.
         found: String,
         /// The voter's name.
         name: String,
     },
     /// A voter has no store.
-    #[error("keeper {0} has no store")]
+    #[error("voter {0} has no store")]
     NoStore(String),
-    /// A voter belongs to a cluster already.
-    #[error("keeper {0} holds the state of a fleet already")]
+    /// A voter already belongs to another cluster.
+    #[error("voter {0} already belongs to another fleet")]
     InUse(String),
     /// This head cannot adopt the new origin.
     #[error(transparent)]
     Adopt(#[from] AdoptError),
-    /// The consensus library has ended.
+    /// The consensus library has stopped.
     #[error(transparent)]
     Raft(#[from] Box<Fatal<StoreId>>),
     /// The consensus library rejects the first membership.
@@ -67,18 +68,18 @@
 }
 
 impl Member {
-    /// Adopts the origin of a cluster, once, and syncs it. From then on this head belongs to that cluster.
+    /// Adopts the origin of a cluster and syncs it to disk, if this head has none yet.
     ///
     /// # Errors
-    /// It belongs to another one, or the origin cannot be saved.
-    pub async fn adopt(&self, theirs: Option<u64>) -> Result<(), AdoptError> {
+    /// This head has another origin, `theirs` is `None`, or the origin cannot be saved.
+    pub async fn adopt_origin(&self, theirs: Option<u64>) -> Result<(), AdoptError> {
         let mut identity = self.identity.lock().await;
         match (identity.origin, theirs) {
             (None, Some(theirs)) => {
                 let adopted = Identity { origin: Some(theirs), ..identity.clone() };
                 self.disk.put(RecordType::Identity, key::IDENTITY, &adopted).await?;
                 *identity = adopted;
-                self.links.set_origin(theirs);
+                self.network.set_origin(theirs);
                 Ok(())
             }
             (Some(own), Some(theirs)) if own == theirs => Ok(()),
@@ -86,13 +87,13 @@
         }
     }
 
-    /// Begins the cluster with the voters of the settings: each must answer under its name, and have no state yet. If it
-    /// has begun with the same stores already, this does nothing.
+    /// Begins the cluster with the voters of the settings. Each of them must respond under its name and must
+    /// not belong to another cluster. Does nothing if the cluster has already begun with the same stores.
     ///
     /// # Errors
-    /// Which voter is not ready, or why this head cannot begin.
+    /// A voter is not ready, or this head cannot begin the cluster.
     pub async fn begin(&self) -> Result<(), BeginError> {
-        let own = self.links.own();
+        let own = self.network.own_greeting();
         if !self.settings.voters.contains_key(&own.head) {
             return Err(BeginError::NotAVoter(own.head));
         }
@@ -111,14 +112,14 @@
         if let Some((name, _)) = in_use {
             return Err(BeginError::InUse((*name).clone()));
         }
-        self.adopt(Some(new_origin)).await?;
+        self.adopt_origin(Some(new_origin)).await?;
         if !self.raft.is_initialized().await.map_err(Box::new)? {
             self.raft.initialize(members).await.map_err(Box::new)?;
         }
         Ok(())
     }
 
-    /// What a voter of the settings says about itself.
+    /// Connects to a voter of the settings and returns its greeting.
     async fn greet_voter(
         &self,
         own: &Greeting,
@@ -128,7 +129,7 @@
         if name == own.head {
             return Ok(own.clone());
         }
-        let dialed = self.links.dial(address).await;
+        let dialed = self.network.dial(address).await;
         let (_, greeting) = dialed.map_err(|source| {
             let name = name.to_owned();
             BeginError::Unreachable { name, address, source }
--- a/crates/cluster/src/member/respond.rs
+++ b/crates/cluster/src/member/respond.rs
@@ -1,17 +1,17 @@
 //! Responses to requests of other heads.
 
 use super::Member;
-use crate::disk::crash_point;
+use crate::disk::failpoint;
 use crate::environment::now;
 use crate::types::{LogId, PeerRequest, PeerResponse};
-use crate::voter_connection::answer_raft;
+use crate::voter_connection::respond_to_raft;
 use openraft::raft::AppendEntriesResponse;
 use sedgerun_replication::greeting::Greeting;
 use sedgerun_replication::watermark::Watermark;
 use std::sync::atomic::Ordering;
 
 impl Member {
-    /// Answers a request of the head that sent this greeting.
+    /// Processes a request of the head that sent the greeting `from`.
     pub async fn respond(&self, request: PeerRequest, from: &Greeting) -> PeerResponse {
         match request {
             PeerRequest::Append(_) | PeerRequest::Vote(_) | PeerRequest::Snapshot(_) => {
@@ -30,7 +30,7 @@
                 Ok(()) => PeerResponse::Begun,
                 Err(error) => PeerResponse::Rejected(error.to_string()),
             },
-            PeerRequest::PreVote(last) => PeerResponse::PreVote(self.raft_id(), self.is_silent(last)),
+            PeerRequest::PreVote(last) => PeerResponse::PreVote(self.raft_id(), self.grants_pre_vote(last)),
             PeerRequest::LegacyPoll(request) => self.serve_update(*request, from).await,
             PeerRequest::Subscribe(subscription) => self.serve_subscription(*subscription, from).await,
             PeerRequest::RegisterRelay(registration) => self.register_relay(registration, from),
@@ -42,39 +42,42 @@
         }
     }
 
-    /// Answers a Raft request.
+    /// Processes a Raft request.
     async fn respond_as_voter(&self, request: PeerRequest, from: &Greeting) -> PeerResponse {
-        // Guards against acknowledgements on top of an older copy of the disk.
-        if self.links.is_rolled_back() || !self.has_recovered.load(Ordering::SeqCst) {
+        // A store that was restored from an older copy of its disk may have forgotten what it acknowledged.
+        // It must not acknowledge anything else until the recovery has excluded that.
+        if self.network.is_rolled_back() || !self.has_recovered.load(Ordering::SeqCst) {
             return PeerResponse::Rejected(
-                "has just started, and asks the others what it has acknowledged".into(),
+                "the store is still recovering after its start, or is an older copy of its disk".into(),
             );
         }
-        // A head that takes part in the consensus is of the same cluster, from its first Raft request on.
-        if let Err(error) = self.adopt(from.origin).await {
+        // From its first Raft request on, this head belongs to the sender's cluster.
+        if let Err(error) = self.adopt_origin(from.origin).await {
             return PeerResponse::Rejected(error.to_string());
         }
         let (received_at, sender_watermark) = (now(), sender_watermark(&request));
-        let Ok(response) = answer_raft(&self.raft, request).await else {
+        let Ok(response) = respond_to_raft(&self.raft, request).await else {
             return PeerResponse::Rejected("not a request of the consensus protocol".into());
         };
-        crash_point("before the response to a leader");
-        if let PeerResponse::Append(answer) = &response
-            && !matches!(answer, AppendEntriesResponse::HigherVote(_))
+        failpoint("before the response to a leader");
+        if let PeerResponse::Append(append_response) = &response
+            && !matches!(append_response, AppendEntriesResponse::HigherVote(_))
         {
             self.election().on_heartbeat(received_at);
             self.is_removed.store(false, Ordering::SeqCst);
         }
-        // A leader counts itself, too: it has synced what it sends, and a copy of its disk from before that is as
-        // outdated as any other's. The model in crates/replication/tests found this.
+        // The leader counts itself in the majority, and a candidate its own vote, so the sender's watermark
+        // is recorded too: an older copy of the sender's disk must be detected like that of any other voter.
+        // The model in crates/replication/tests found this.
         if let (Some(store), Some(watermark)) = (from.store, sender_watermark) {
-            self.links.observe(store, from.incarnation, watermark);
+            self.network.observe(store, from.incarnation, watermark);
         }
         response
     }
 }
 
-/// How far the sender's store is, by its own request: its vote is saved, and the entries that it sends are synced.
+/// The watermark of the sender's store that follows from its request: it has saved the vote and synced the
+/// entries that it sends.
 fn sender_watermark(request: &PeerRequest) -> Option<Watermark> {
     let position = |at: LogId| (at.leader_id.term, at.index);
     match request {
--- a/crates/cluster/src/member/start.rs
+++ b/crates/cluster/src/member/start.rs
@@ -1,10 +1,10 @@
-//! Building a member from its settings and its opened store.
+//! Starts a member from its settings and its opened store.
 
 use super::Member;
 use crate::disk::{Identity, OpenedStore};
 use crate::environment::{EntropyError, now, random};
-use crate::link::Links;
 use crate::node_setup::NodeSetup;
+use crate::peer_network::PeerNetwork;
 use crate::pending_change::PendingChange;
 use crate::raft_log::RaftLog;
 use crate::settings::Settings;
@@ -23,21 +23,21 @@
 use thiserror::Error;
 use tokio::sync::mpsc;
 
-/// Time between heartbeats of a leader, in milliseconds.
+/// Interval between heartbeats of a leader, in milliseconds.
 const HEARTBEAT_MS: u64 = 100;
-/// For this long after a heartbeat of a leader a voter gives its vote to no other, in milliseconds.
+/// Time after a leader's heartbeat during which a voter votes for no other candidate, in milliseconds.
 const LEASE_MS: u64 = 400;
-/// When a voter campaigns. The silence is longer than the lease, so that an election is not refused where the last
-/// heartbeat reached another voter a little later.
+/// Timeouts that decide when a voter campaigns. The leader timeout is longer than the lease, so that a
+/// candidate is not rejected by a voter that received the last heartbeat slightly later.
 pub(super) const ELECTION_TIMEOUTS: ElectionTimeouts =
     ElectionTimeouts { leader_timeout_ms: 500, jitter_ms: 250, retry_ms: 300 };
-/// Log entries between snapshots.
+/// Number of log entries between snapshots.
 const ENTRIES_BETWEEN_SNAPSHOTS: u64 = 5000;
-/// Log entries kept behind a snapshot, for voters that lag a little.
+/// Number of log entries kept after a snapshot, so that a voter that lags by fewer entries needs no snapshot.
 const ENTRIES_KEPT: u64 = 1000;
 /// Size of one chunk of a snapshot, in bytes.
 const SNAPSHOT_CHUNK_BYTES: u64 = 512 << 10;
-/// Time for one chunk of a snapshot, in milliseconds.
+/// Timeout for sending one chunk of a snapshot, in milliseconds.
 const SNAPSHOT_CHUNK_TIMEOUT_MS: u64 = 2000;
 
 /// Why a member cannot be started.
@@ -58,7 +58,7 @@
 }
 
 impl Member {
-    /// Starts a new incarnation of a store; changes made through it are sent to `changes`.
+    /// Starts a member on an opened store. Changes that it commits as leader are queued in `changes`.
     ///
     /// # Errors
     /// The store's contents cannot be used.
@@ -66,19 +66,19 @@
         let NodeSetup { settings, head, address, disk, opened, dial } = setup;
         let own = greeting(&settings, &head, address, &opened)?;
         let OpenedStore { identity, vote, committed, purged, log, watermarks, snapshot, followed } = opened;
-        let links = Links::new(own, settings.routes(), watermarks, dial);
+        let network = PeerNetwork::new(own, settings.routes(), watermarks, dial);
         let state_machine = StateMachine::new(disk.clone(), snapshot, &log, committed, followed)?;
         let vote = vote.map(|vote| uncommit_own_vote(vote, &identity));
         let log = RaftLog::new(disk.clone(), log, purged, vote, committed);
         let config = Arc::new(raft_config(&settings)?);
-        let raft = Raft::new(identity.store, config, links.clone(), log.clone(), state_machine.clone());
+        let raft = Raft::new(identity.store, config, network.clone(), log.clone(), state_machine.clone());
         let raft = raft.await.map_err(Box::new)?;
         let follower = follower(&settings, &head)?;
         let followers = Followers::new(settings.role(), settings.follower_capacity());
         Ok(Member {
             raft,
             state_machine,
-            links,
+            network,
             settings,
             disk,
             log,
@@ -97,7 +97,7 @@
     }
 }
 
-/// What this head says about itself.
+/// The greeting that this head sends on each connection.
 fn greeting(
     settings: &Settings,
     head: &str,
@@ -118,8 +118,9 @@
     })
 }
 
-/// Guards against a leader that continues in its term after a restart: what it sent and had not synced is lost, and it
-/// would put other entries at the same positions. A restarted process is a new incarnation, and campaigns anew.
+/// Clears the committed flag of a vote for this store itself, so that a restarted leader does not continue in
+/// its old term but campaigns again. Entries that it had sent but not synced are lost, and in the same term
+/// it would write other entries at the same log positions.
 fn uncommit_own_vote(vote: Vote, identity: &Identity) -> Vote {
     match vote.leader_id().voted_for() {
         Some(own) if own == identity.store => Vote { committed: false, ..vote },
@@ -139,7 +140,7 @@
         max_in_snapshot_log_to_keep: ENTRIES_KEPT.min(entries_between_snapshots / 5),
         snapshot_max_chunk_size: snapshot_chunk_bytes(),
         install_snapshot_timeout: SNAPSHOT_CHUNK_TIMEOUT_MS,
-        // When to campaign is decided by `election`.
+        // The crate's `election` module decides when to campaign.
         enable_elect: false,
         ..Config::default()
     };
@@ -152,7 +153,7 @@
     Ok(Follower::new(head, seeds, random()?).with_role(settings.role(), settings.region.clone()))
 }
 
-/// Log entries between snapshots; tests set fewer.
+/// Number of log entries between snapshots. Tests reduce it by a failpoint.
 fn entries_between_snapshots() -> u64 {
     fail::fail_point!("entries between snapshots", |configured| configured
         .and_then(|configured| configured.parse().ok())
@@ -160,7 +161,7 @@
     ENTRIES_BETWEEN_SNAPSHOTS
 }
 
-/// Size of one chunk of a snapshot, in bytes; tests set less.
+/// Size of one chunk of a snapshot, in bytes. Tests reduce it by a failpoint.
 fn snapshot_chunk_bytes() -> u64 {
     fail::fail_point!("snapshot chunk bytes", |configured| configured
         .and_then(|configured| configured.parse().ok())
--- a/crates/cluster/src/member/status.rs
+++ b/crates/cluster/src/member/status.rs
@@ -1,4 +1,4 @@
-//! The status of a member, as `fleet status` and the metrics show it.
+//! The status of a member, for `fleet status` and the metrics.
 
 use super::Member;
 use crate::environment::now;
@@ -12,7 +12,7 @@
     /// The status of this head.
     pub fn status(&self) -> HeadStatus {
         let metrics = self.raft.metrics().borrow().clone();
-        let own = self.links.own();
+        let own = self.network.own_greeting();
         let fault = self.fault(&metrics);
         let (path, age) = self.path_and_age();
         let leads = metrics.state == ServerState::Leader;
@@ -38,12 +38,12 @@
         }
     }
 
-    /// Why this head no longer votes, if a fault has stopped it.
+    /// The fault that stopped this head from voting, if there was one.
     fn fault(&self, metrics: &RaftMetrics<StoreId, VoterAddress>) -> Option<String> {
         if let Err(fatal) = &metrics.running_state {
             return Some(fatal.to_string());
         }
-        self.links.is_rolled_back().then(|| "an older copy of its disk: remove its folder".to_owned())
+        self.network.is_rolled_back().then(|| "an older copy of its disk: remove its folder".to_owned())
     }
 
     fn voter_statuses(&self, metrics: &RaftMetrics<StoreId, VoterAddress>) -> Vec<VoterStatus> {
@@ -51,7 +51,7 @@
         let voter_ids: BTreeSet<StoreId> = membership.voter_ids().collect();
         let voters = membership.nodes().map(|(store, voter)| {
             let matched = metrics.replication.as_ref().and_then(|all| all.get(store).copied().flatten());
-            let address = self.links.route(&voter.head, &voter.address);
+            let address = self.network.route(&voter.head, &voter.address);
             VoterStatus {
                 head: voter.head.clone(),
                 store: *store,
@@ -64,7 +64,7 @@
         voters.collect()
     }
 
-    /// The name of this head's role, as operators read it; [`HeadStatus::role`] lists them.
+    /// The name of this head's role in `fleet status`; [`HeadStatus::role`] lists the names.
     fn role_name(&self, is_stopped: bool, state: ServerState, age: Option<u64>) -> &'static str {
         match state {
             _ if is_stopped => "stopped",
--- a/crates/cluster/src/node_setup.rs
+++ b/crates/cluster/src/node_setup.rs
@@ -1,4 +1,4 @@
-//! What a node is started with.
+//! The inputs of [`Node::start`](crate::node::Node::start).
 
 use crate::disk::{Disk, OpenedStore};
 use crate::environment::Dial;
@@ -6,17 +6,17 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// What a node is started with.
+/// The settings, store and transport with which a node is started.
 pub struct NodeSetup {
     /// The settings of the cluster.
     pub settings: Settings,
     /// The head's name.
     pub head: String,
-    /// The address at which other heads reach it.
+    /// The address at which other heads reach this head.
     pub address: SocketAddr,
-    /// The handle of its store's writer.
+    /// The handle of the store's writer.
     pub disk: Disk,
-    /// What the store contained when it was opened.
+    /// The contents of the store when it was opened.
     pub opened: OpenedStore,
     /// The transport to other heads.
     pub dial: Arc<dyn Dial>,
--- a/crates/cluster/src/link.rs
+++ b/crates/cluster/src/peer_network.rs
@@ -1,11 +1,11 @@
-//! Connections to other heads: a greeting first, then requests; and what this head remembers of the heads at their other
-//! ends.
+//! Connections to other heads. A connection begins with an exchange of greetings; requests and responses
+//! follow.
 //!
-//! [`Links`] is shared by all tasks of a node. It owns what the head says about itself, the idle connections and the
-//! watermarks of other stores; it does not retry, and decides nothing about the cluster.
+//! [`PeerNetwork`] is shared by all tasks of a node. It owns this head's greeting, a pool of idle connections
+//! and the watermarks of other stores. It does not retry requests.
 
 use crate::environment::{Connection, Dial, now};
-use crate::frame::{CountedConnection, exchange, receive, send, within};
+use crate::frame::{CountedConnection, exchange, receive, send, with_timeout};
 use crate::traffic::{CountedStream, Traffic, TrafficTotals};
 use crate::types::{PeerRequest, PeerResponse};
 use sedgerun_replication::greeting::{Greeting, Refusal, StoreId, admit};
@@ -19,81 +19,83 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// Time in which a connection must be made and both greetings exchanged.
+/// Timeout for making a connection and exchanging the greetings.
 pub const GREETING_TIMEOUT: Duration = Duration::from_millis(500);
-/// Idle connections that are kept to one head, at most.
+/// Maximum number of idle connections to one head.
 const MAX_IDLE: usize = 8;
 
-/// This head's identity, and its connections to the others.
+/// This head's greeting and its connections to the other heads; clones share them.
 #[derive(Clone)]
-pub struct Links(Arc<SharedLinks>);
+pub struct PeerNetwork(Arc<SharedNetwork>);
 
-struct SharedLinks {
-    /// What this head says about itself.
+struct SharedNetwork {
+    /// The greeting that this head sends on each connection.
     own: Mutex<Greeting>,
     /// Addresses of heads by name, from the settings.
     routes: BTreeMap<String, SocketAddr>,
+    /// Idle connections by address.
     idle: Mutex<HashMap<SocketAddr, Vec<CountedConnection>>>,
     watermarks: Mutex<Watermarks>,
-    /// Another head has said that this one is an older copy of its disk.
+    /// Another head has rejected this store as an older copy of its disk.
     rolled_back: AtomicBool,
-    /// When each voter last answered a Raft request.
-    answered_at: Mutex<BTreeMap<StoreId, Millis>>,
+    /// When each voter last responded to a Raft request.
+    last_response_at: Mutex<BTreeMap<StoreId, Millis>>,
     dial: Arc<dyn Dial>,
     traffic: Arc<Traffic>,
 }
 
-impl Links {
-    /// Links of a head that says this about itself, and reaches heads by name at these addresses.
+impl PeerNetwork {
+    /// Creates the network of a head. `routes` are the addresses of other heads by name, from the settings.
     pub fn new(
         own: Greeting,
         routes: BTreeMap<String, SocketAddr>,
         watermarks: Watermarks,
         dial: Arc<dyn Dial>,
-    ) -> Links {
-        Links(Arc::new(SharedLinks {
+    ) -> PeerNetwork {
+        PeerNetwork(Arc::new(SharedNetwork {
             own: Mutex::new(own),
             routes,
             idle: Mutex::default(),
             watermarks: Mutex::new(watermarks),
             rolled_back: AtomicBool::default(),
-            answered_at: Mutex::default(),
+            last_response_at: Mutex::default(),
             dial,
             traffic: Arc::default(),
         }))
     }
 
-    /// When a voter last answered a Raft request.
-    pub fn answered_at(&self, store: StoreId) -> Option<Millis> {
-        self.0.answered_at.lock().unwrap_or_else(PoisonError::into_inner).get(&store).copied()
+    /// When a voter last responded to a Raft request; `None` if it has not since the start.
+    pub fn last_response_at(&self, store: StoreId) -> Option<Millis> {
+        self.0.last_response_at.lock().unwrap_or_else(PoisonError::into_inner).get(&store).copied()
     }
 
-    /// A voter has answered a Raft request.
-    pub fn record_answer(&self, store: StoreId) {
-        self.0.answered_at.lock().unwrap_or_else(PoisonError::into_inner).insert(store, now());
+    /// Records that a voter has responded to a Raft request now.
+    pub fn record_response(&self, store: StoreId) {
+        self.0.last_response_at.lock().unwrap_or_else(PoisonError::into_inner).insert(store, now());
     }
 
-    /// Counts the traffic of a connection with that of all others.
-    pub fn counted(&self, stream: Connection) -> CountedConnection {
+    /// Counts the traffic of a connection in this head's totals.
+    pub fn count_traffic(&self, stream: Connection) -> CountedConnection {
         CountedStream::new(stream, Arc::clone(&self.0.traffic))
     }
 
-    /// The traffic between this head and others.
+    /// The totals of the traffic between this head and other heads.
     pub fn traffic(&self) -> TrafficTotals {
         self.0.traffic.totals()
     }
 
-    /// What this head says about itself.
-    pub fn own(&self) -> Greeting {
+    /// The greeting that this head sends on each connection.
+    pub fn own_greeting(&self) -> Greeting {
         self.0.own.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// From now on this head has the state of a cluster of this origin.
+    /// Sets the origin of the cluster in this head's greeting.
     pub fn set_origin(&self, origin: u64) {
         self.0.own.lock().unwrap_or_else(PoisonError::into_inner).origin = Some(origin);
     }
 
-    /// Whether another head has said that this one has forgotten what it acknowledged.
+    /// Whether another head has rejected this store as an older copy of its disk, which has forgotten what it
+    /// acknowledged.
     pub fn is_rolled_back(&self) -> bool {
         self.0.rolled_back.load(Ordering::SeqCst)
     }
@@ -102,20 +104,20 @@
         self.0.watermarks.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Another store has stated, or acknowledged, this watermark in this incarnation.
+    /// Records the watermark that another store has sent or acknowledged in this incarnation.
     pub fn observe(&self, store: StoreId, incarnation: Incarnation, watermark: Watermark) {
         self.lock_watermarks().observe(store, incarnation, watermark);
     }
 
-    /// What this head remembers of other stores.
+    /// The recorded watermarks of other stores.
     pub fn watermarks(&self) -> Watermarks {
         self.lock_watermarks().clone()
     }
 
-    /// Whether this head admits one that says this about itself.
+    /// Checks the greeting of another head, and whether its store is an older copy of its disk.
     ///
     /// # Errors
-    /// Why it rejects it.
+    /// The reason for rejecting the other head.
     pub fn admit(&self, own: &Greeting, theirs: &Greeting) -> Result<(), Refusal> {
         admit(own, theirs)?;
         let is_rolled_back = theirs.store.is_some_and(|store| {
@@ -124,34 +126,36 @@
         if is_rolled_back { Err(Refusal::RolledBack) } else { Ok(()) }
     }
 
-    /// The address at which this head reaches another: that of its own settings, else the announced one; `None` if that
-    /// is malformed.
+    /// The address at which this head reaches another head: the one in the settings, else the one that the
+    /// other head announces. `None` if the announced address is malformed.
     pub fn route(&self, head: &str, announced: &str) -> Option<SocketAddr> {
         self.0.routes.get(head).copied().or_else(|| announced.parse().ok())
     }
 
-    /// Makes a new connection. Returns it with what the other end says about itself.
+    /// Makes a new connection, and returns it with the greeting of the other head.
     ///
     /// # Errors
-    /// The connection cannot be made in time, or one of the heads rejects the other (`PermissionDenied`).
+    /// The connection cannot be made in time, or one of the heads rejects the other's greeting
+    /// (`PermissionDenied`).
     pub async fn dial(&self, to: SocketAddr) -> io::Result<(CountedConnection, Greeting)> {
         let greet = async {
-            let mut stream = self.counted(self.0.dial.dial(to).await?);
-            let own = self.own();
+            let mut stream = self.count_traffic(self.0.dial.dial(to).await?);
+            let own = self.own_greeting();
             send(&mut stream, RecordType::Greeting, &own).await?;
             let theirs: Result<Greeting, Refusal> = receive(&mut stream, RecordType::Greeting).await?;
-            let denied = |refusal: Refusal| io::Error::new(io::ErrorKind::PermissionDenied, refusal);
+            let permission_denied =
+                |refusal: Refusal| io::Error::new(io::ErrorKind::PermissionDenied, refusal);
             if theirs == Err(Refusal::RolledBack) {
                 self.0.rolled_back.store(true, Ordering::SeqCst);
             }
-            let theirs = theirs.map_err(denied)?;
-            self.admit(&own, &theirs).map_err(denied)?;
+            let theirs = theirs.map_err(permission_denied)?;
+            self.admit(&own, &theirs).map_err(permission_denied)?;
             Ok((stream, theirs))
         };
-        within(GREETING_TIMEOUT, greet).await
+        with_timeout(GREETING_TIMEOUT, greet).await
     }
 
-    /// Sends a request to a head, on an idle connection if there is one, and waits for its response.
+    /// Sends a request to a head on an idle or a new connection, and waits for the response.
     ///
     /// # Errors
     /// The connection fails, or the response does not arrive within `timeout`.
@@ -161,7 +165,7 @@
         request: &PeerRequest,
         timeout: Duration,
     ) -> io::Result<PeerResponse> {
-        within(timeout, self.request_on_any_connection(to, request)).await
+        with_timeout(timeout, self.request_on_any_connection(to, request)).await
     }
 
     async fn request_on_any_connection(
--- a/crates/cluster/src/pending_change.rs
+++ b/crates/cluster/src/pending_change.rs
@@ -1,16 +1,16 @@
-//! A change on its way from the task that requests it to the one that writes batches.
+//! A change in the queue between the task that requests it and the task that writes batches.
 
 use crate::change_error::CommitError;
 use sedgerun_replication::state::{Change, ChangeOutcome};
 use tokio::sync::oneshot;
 
-/// The outcome of a change that this head commits as leader.
+/// The result of committing a change as leader.
 pub type CommitResult = Result<ChangeOutcome, CommitError>;
 
-/// A change that waits to be written.
+/// A queued change.
 pub struct PendingChange {
     /// The change.
     pub change: Change,
-    /// Receives its outcome.
+    /// Receives the result.
     pub result: oneshot::Sender<CommitResult>,
 }
--- a/crates/cluster/src/raft_log.rs
+++ b/crates/cluster/src/raft_log.rs
@@ -1,6 +1,7 @@
-//! The log as the consensus library sees it: read from memory, written by the [disk](crate::disk)'s writer.
+//! Log storage for the consensus library: reads come from memory, writes go to the writer of the
+//! [disk](crate::disk).
 //!
-//! The consensus library owns the order of calls; nothing else in the crate appends or removes entries.
+//! Only the consensus library appends and removes entries, and it determines the order of these operations.
 
 use crate::disk::{Disk, WriteError, key};
 use crate::types::{Entry, LogId, RaftTypes, StorageError, Vote};
@@ -12,7 +13,7 @@
 use std::ops::RangeBounds;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// The log. Its entries are in memory as well; snapshots bound their number.
+/// The Raft log. Its entries are kept in memory, too; snapshots limit their number.
 #[derive(Clone)]
 pub struct RaftLog {
     disk: Disk,
@@ -30,7 +31,7 @@
     committed: Option<LogId>,
 }
 
-/// An error of the disk as the consensus library represents it: with the text alone, which has the sources in it.
+/// Converts a disk error for the consensus library. Only its text is passed on, which contains its sources.
 pub fn storage_error(verb: ErrorVerb, error: impl Display) -> StorageError {
     StorageIOError::new(ErrorSubject::Store, verb, AnyError::error(error)).into()
 }
@@ -44,7 +45,7 @@
 }
 
 impl RaftLog {
-    /// The log as the disk contained it at the start.
+    /// Creates the log with the contents of the disk at the start.
     pub fn new(
         disk: Disk,
         entries: BTreeMap<u64, Entry>,
@@ -61,7 +62,7 @@
         self.lock().unsynced_votes > 0
     }
 
-    /// Its last entry, or the last that a snapshot replaced.
+    /// Position of the last entry, or of the last entry that a snapshot replaced; `None` for an empty log.
     pub fn last(&self) -> Option<LogId> {
         let contents = self.lock();
         contents.entries.values().next_back().map(|entry| entry.log_id).or(contents.purged)
--- a/crates/cluster/src/recovery.rs
+++ b/crates/cluster/src/recovery.rs
@@ -1,7 +1,8 @@
-//! Recovery of a store after its start, and the watermarks that this head saves of other stores.
+//! Recovery of a store after its start, and saving the watermarks of other stores.
 //!
-//! A store that has just started may be an older copy of its disk ([`watermark`](sedgerun_replication::watermark)). It
-//! neither votes nor acknowledges anything before the other voters have been asked for what they remember of it.
+//! A store that has just started may be an older copy of its disk
+//! ([`watermark`](sedgerun_replication::watermark)). Before it votes or acknowledges entries, it sends its
+//! greeting to the other voters, which compare it with the watermark that they have recorded for this store.
 
 use crate::disk::key;
 use crate::member::Member;
@@ -12,25 +13,25 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Time that a store which has just started waits for the greetings of the other voters.
+/// Time limit for greeting the other voters after a start.
 const RECOVERY_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time between attempts at voters that were not reached.
+/// Pause before the voters that were not reached are tried again.
 const RETRY_INTERVAL: Duration = Duration::from_millis(25);
-/// How often the watermarks of other stores are saved, if they have changed.
+/// Interval at which changed watermarks of other stores are saved.
 const SAVE_INTERVAL: Duration = Duration::from_millis(200);
 
 impl Member {
-    /// Greets the other voters, as a store that has just started, so that they can reject an older copy of its disk; then
-    /// it votes. A voter that cannot be reached is waited for up to `RECOVERY_TIMEOUT` and no longer: it may never
-    /// return.
+    /// Greets the other voters, so that they can reject this store as an older copy of its disk; if none
+    /// does, this head may vote. Voters that cannot be reached within `RECOVERY_TIMEOUT` are skipped, because
+    /// they may never return.
     pub async fn recover(&self) {
         let mut unreached = self.voters_to_greet();
         let begun = Instant::now();
-        while !unreached.is_empty() && begun.elapsed() < RECOVERY_TIMEOUT && !self.links.is_rolled_back() {
+        while !unreached.is_empty() && begun.elapsed() < RECOVERY_TIMEOUT && !self.network.is_rolled_back() {
             let mut still_unreached = Vec::new();
             for voter in unreached {
-                let is_reached = match self.links.route(&voter.head, &voter.address) {
-                    Some(to) => self.links.dial(to).await.is_ok(),
+                let is_reached = match self.network.route(&voter.head, &voter.address) {
+                    Some(to) => self.network.dial(to).await.is_ok(),
                     None => false,
                 };
                 if !is_reached {
@@ -42,17 +43,18 @@
                 tokio::time::sleep(RETRY_INTERVAL).await;
             }
         }
-        if !self.links.is_rolled_back() {
+        if !self.network.is_rolled_back() {
             self.has_recovered.store(true, Ordering::SeqCst);
         }
     }
 
-    /// The other voters, as this head knows them from its settings and from the log.
+    /// The other voters that this head knows from its settings and from the log.
     fn voters_to_greet(&self) -> Vec<VoterAddress> {
-        let own = self.links.own();
+        let own = self.network.own_greeting();
         let mut others: BTreeMap<String, VoterAddress> = BTreeMap::new();
-        // Guards against a store that was killed before it saved the voters (that record has no sync of its own): it
-        // would know nobody to greet. The voters of the settings are greeted too, once the cluster has begun.
+        // The committed position has no sync of its own. After a kill the store may not know that the
+        // membership entry is committed, and would have no voters to greet. So the voters of the settings are
+        // greeted as well, once the head belongs to a cluster.
         if own.origin.is_some() {
             let configured = self.settings.voters.iter();
             others.extend(configured.map(|(head, at)| {
@@ -65,12 +67,12 @@
         others.into_values().collect()
     }
 
-    /// Saves the watermarks of other stores as they change, for as long as the future is polled.
+    /// Saves the watermarks of other stores when they have changed. Never returns.
     pub async fn save_watermarks(&self) {
-        let mut saved = self.links.watermarks();
+        let mut saved = self.network.watermarks();
         loop {
             tokio::time::sleep(SAVE_INTERVAL).await;
-            let watermarks = self.links.watermarks();
+            let watermarks = self.network.watermarks();
             if watermarks != saved {
                 self.disk.put_without_sync(RecordType::Watermarks, key::WATERMARKS, &watermarks).await;
                 saved = watermarks;
--- a/crates/cluster/src/relay.rs
+++ b/crates/cluster/src/relay.rs
@@ -1,7 +1,7 @@
 //! Relays: their registration with all voters, and the leases that a voter grants them.
 //!
-//! Which relays are live is decided by [`RelayRegistry`](sedgerun_replication::relay::RelayRegistry), which each voter
-//! has for itself.
+//! Each voter has its own [`RelayRegistry`](sedgerun_replication::relay::RelayRegistry), which decides which
+//! relays are live.
 
 use crate::environment::now;
 use crate::member::Member;
@@ -15,27 +15,30 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Time between two registrations.
+/// Interval between registrations.
 const REGISTRATION_INTERVAL: Duration = Duration::from_millis(REGISTRATION_INTERVAL_MS);
-/// Time for a voter to answer a registration.
+/// Timeout of a registration request.
 const REGISTRATION_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// Connections of a relay to the voters, by name.
+/// The state of a relay's registrations with the voters.
 #[derive(Default)]
 struct Registrations {
+    /// Connections by the voter's name.
     connections: BTreeMap<String, PeerConnection>,
-    /// Voters of earlier versions, which grant no leases.
+    /// Voters of earlier versions, which do not know registrations.
     legacy: LegacyPeers,
-    /// The last refusal that was logged.
-    logged_refusal: Option<String>,
+    /// The rejection that was logged last; `None` after a successful registration was logged, and at the
+    /// start.
+    logged_rejection: Option<String>,
 }
 
 impl Member {
-    /// Registers this head, which must be a relay, with all voters, for as long as the future is polled.
+    /// Registers this head, which must be a relay, with all voters periodically. Never returns.
     pub async fn run_registration(&self) {
         let mut registrations = Registrations::default();
         loop {
-            // No follower is to be redirected to a relay that has nothing to serve yet.
+            // Registers only after the first update, so that voters redirect no follower to a relay without
+            // state.
             if self.path_and_age().1.is_some() {
                 self.register_with_all(&mut registrations).await;
             }
@@ -55,20 +58,20 @@
             self.register_with(voter, connection, &request, &registrations.legacy)
         });
         let attempts: Vec<_> = attempts.collect();
-        let mut refusal = None;
+        let mut rejection = None;
         for (voter, outcome) in join_all(attempts).await {
             match outcome {
                 RegistrationOutcome::Granted(connection) => {
                     registrations.connections.insert(voter, connection);
                 }
-                RegistrationOutcome::Refused(why) => refusal = Some(format!("{voter}: {why}")),
+                RegistrationOutcome::Rejected(why) => rejection = Some(format!("{voter}: {why}")),
                 RegistrationOutcome::UnknownRequest(incarnation) => {
                     registrations.legacy.remember(now(), &voter, incarnation);
                 }
-                RegistrationOutcome::NoAnswer => {}
+                RegistrationOutcome::NoResponse => {}
             }
         }
-        registrations.log_change(refusal);
+        registrations.log_change(rejection);
     }
 
     async fn register_with(
@@ -78,23 +81,23 @@
         request: &PeerRequest,
         legacy: &LegacyPeers,
     ) -> (String, RegistrationOutcome) {
-        let Some(to) = self.links.route(&voter.head, &voter.address) else {
-            return (voter.head, RegistrationOutcome::NoAnswer);
+        let Some(to) = self.network.route(&voter.head, &voter.address) else {
+            return (voter.head, RegistrationOutcome::NoResponse);
         };
         let connection = match connection {
             Some(connection) => Ok(connection),
-            None => PeerConnection::dial(&self.links, to).await,
+            None => PeerConnection::dial(&self.network, to).await,
         };
-        let Ok(mut connection) = connection else { return (voter.head, RegistrationOutcome::NoAnswer) };
+        let Ok(mut connection) = connection else { return (voter.head, RegistrationOutcome::NoResponse) };
         let incarnation = connection.incarnation();
         if legacy.contains(now(), &voter.head, incarnation) {
-            return (voter.head, RegistrationOutcome::NoAnswer);
+            return (voter.head, RegistrationOutcome::NoResponse);
         }
         let outcome = match connection.request(request, REGISTRATION_TIMEOUT).await {
             Ok(PeerResponse::Registered) => RegistrationOutcome::Granted(connection),
-            Ok(PeerResponse::Rejected(why)) => RegistrationOutcome::Refused(why),
-            Err(RequestError::Hangup) => RegistrationOutcome::UnknownRequest(incarnation),
-            Ok(_) | Err(RequestError::Io(_)) => RegistrationOutcome::NoAnswer,
+            Ok(PeerResponse::Rejected(why)) => RegistrationOutcome::Rejected(why),
+            Err(RequestError::ClosedByPeer) => RegistrationOutcome::UnknownRequest(incarnation),
+            Ok(_) | Err(RequestError::Io(_)) => RegistrationOutcome::NoResponse,
         };
         (voter.head, outcome)
     }
@@ -102,10 +105,10 @@
     /// Grants or renews the lease of the relay that sent this greeting.
     pub fn register_relay(&self, registration: RelayRegistration, from: &Greeting) -> PeerResponse {
         let Some(store) = from.store else {
-            return PeerResponse::Rejected("a relay has a store".into());
+            return PeerResponse::Rejected("only a head with a store can be a relay".into());
         };
         if !self.votes() {
-            return PeerResponse::Rejected("does not vote".into());
+            return PeerResponse::Rejected("this head does not vote, so it registers no relays".into());
         }
         let relay = Relay {
             peer: Peer { head: from.head.clone(), address: from.address.clone() },
@@ -123,16 +126,17 @@
 }
 
 impl Registrations {
-    /// Logs a refusal, or that there is none any more, once.
-    fn log_change(&mut self, refusal: Option<String>) {
-        if refusal == self.logged_refusal {
+    /// Logs a rejection, or that the registrations are no longer rejected, if that has changed since the last
+    /// log line.
+    fn log_change(&mut self, rejection: Option<String>) {
+        if rejection == self.logged_rejection {
             return;
         }
-        match &refusal {
-            Some(why) => tracing::warn!("fleet: not registered as a relay: {why}"),
-            None => tracing::info!("fleet: registered as a relay"),
+        match &rejection {
+            Some(why) => tracing::warn!("fleet: registration as a relay was rejected, will retry: {why}"),
+            None => tracing::info!("fleet: registration as a relay is no longer rejected"),
         }
-        self.logged_refusal = refusal;
+        self.logged_rejection = rejection;
     }
 }
 
@@ -140,10 +144,10 @@
 enum RegistrationOutcome {
     /// The lease is granted.
     Granted(PeerConnection),
-    /// It is refused, for this reason.
-    Refused(String),
-    /// The voter, in this incarnation, does not know the request.
+    /// The registration is rejected, for this reason.
+    Rejected(String),
+    /// The voter, in this incarnation, does not know registrations.
     UnknownRequest(u64),
-    /// The voter cannot be reached, or did not answer.
-    NoAnswer,
+    /// The voter cannot be reached, did not respond, or is known not to support registrations.
+    NoResponse,
 }
--- a/crates/cluster/src/repair.rs
+++ b/crates/cluster/src/repair.rs
@@ -1,7 +1,7 @@
-//! Repair of the voter group by the leader: carries out one membership change at a time.
+//! Repair of the voter group by the leader, one membership change at a time.
 //!
-//! Which change is decided by [`next_step`](sedgerun_replication::repair::next_step); here are the inputs of that
-//! decision and its execution by the consensus library.
+//! [`next_step`](sedgerun_replication::repair::next_step) decides which change to make. This module collects
+//! the inputs of that decision and makes the change through the consensus library.
 
 use crate::environment::now;
 use crate::member::Member;
@@ -18,26 +18,27 @@
 use thiserror::Error;
 use tokio::task::JoinSet;
 
-/// Time between checks of the voters.
+/// Interval between checks of the voters.
 const REPAIR_INTERVAL: Duration = Duration::from_millis(250);
-/// Time for another voter to report its followers.
+/// Timeout of the status request to another voter, which reports its followers.
 const STATUS_TIMEOUT: Duration = Duration::from_millis(500);
-/// Time for a membership change; one that takes longer continues by itself, and the next check finds it.
+/// Time limit for waiting for a membership change. A slower change continues in the consensus library, and
+/// the next check finds it in progress.
 const CHANGE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Why the voters are not repaired for now.
+/// Why a repair of the voter group failed. It is tried again after the next check.
 #[derive(Debug, Error)]
 enum RepairError {
     /// The consensus library rejects the membership change.
     #[error(transparent)]
     Raft(#[from] Box<RaftError<StoreId, ClientWriteError<StoreId, VoterAddress>>>),
-    /// The membership change is not committed in time.
-    #[error("a change of voters is not settled")]
+    /// The membership change was not committed in time.
+    #[error("the membership change was not committed in time")]
     Timeout,
 }
 
 impl Member {
-    /// Repairs the voter group while this head leads, for as long as the future is polled.
+    /// Repairs the voter group while this head leads. Never returns.
     pub async fn run_repair(&self) {
         let mut leading_since = None;
         let mut logged_error = String::new();
@@ -51,7 +52,7 @@
             match self.repair_once(since).await.map_err(|error| error.to_string()) {
                 Ok(()) => logged_error.clear(),
                 Err(error) if error != logged_error => {
-                    tracing::warn!("fleet: the voters are not repaired for now: {error}");
+                    tracing::warn!("fleet: cannot repair the voter group, will retry: {error}");
                     logged_error = error;
                 }
                 Err(_) => {}
@@ -62,7 +63,7 @@
     async fn repair_once(&self, leading_since: Millis) -> Result<(), RepairError> {
         let (members, is_change_in_progress) = self.group_members(leading_since);
         if is_change_in_progress {
-            // Guards against a change that an earlier leader began and did not complete.
+            // Completes a change that an earlier leader began.
             return self.change_membership(ChangeMembers::ReplaceAllVoters(voters_of(&members))).await;
         }
         let rules = self.state_machine.read(|view| view.rules.clone());
@@ -71,12 +72,13 @@
         }
         let candidates = self.candidates(&members).await;
         match repair::next_step(&rules, &members, &candidates, self.raft_id()) {
-            Some(step) => self.carry_out(step, &members).await,
+            Some(step) => self.execute_step(step, &members).await,
             None => Ok(()),
         }
     }
 
-    /// The members as this head sees them, which has led since then, and whether a membership change is in progress.
+    /// The members as this head knows them, and whether a membership change is in progress. `leading_since`
+    /// is when this head became the leader.
     fn group_members(&self, leading_since: Millis) -> (Vec<GroupMember>, bool) {
         let metrics = self.raft.metrics().borrow().clone();
         let membership = metrics.membership_config.membership();
@@ -86,22 +88,23 @@
         let members = membership.nodes().map(|(store, voter)| {
             let matched = metrics.replication.as_ref().and_then(|all| all.get(store).copied().flatten());
             let is_own = *store == metrics.id;
-            // Guards against a new leader that declares voters dead at once because it has not called them yet.
-            let last_answer = self.links.answered_at(*store).unwrap_or(0).max(leading_since);
+            // A new leader has no responses yet. Counting from when it became the leader keeps it from
+            // declaring the other voters dead at once.
+            let last_response = self.network.last_response_at(*store).unwrap_or(0).max(leading_since);
             let lag = matched.map(|matched| last_index.saturating_sub(matched.index));
             GroupMember {
                 store: *store,
                 head: voter.head.clone(),
                 zone: voter.zone.clone(),
                 votes: voters.contains(store),
-                silent_ms: if is_own { 0 } else { now.saturating_sub(last_answer) },
+                silent_ms: if is_own { 0 } else { now.saturating_sub(last_response) },
                 lag: if is_own { Some(0) } else { lag },
             }
         });
         (members.collect(), configs.len() > 1)
     }
 
-    async fn carry_out(&self, step: RepairStep, members: &[GroupMember]) -> Result<(), RepairError> {
+    async fn execute_step(&self, step: RepairStep, members: &[GroupMember]) -> Result<(), RepairError> {
         let name = |store: StoreId| {
             let member = members.iter().find(|member| member.store == store);
             member.map_or_else(|| format!("{store:016x}"), |member| member.head.clone())
@@ -109,38 +112,38 @@
         let voters = voters_of(members);
         match step {
             RepairStep::AddLearner(VoterCandidate { store, head, address, zone }) => {
-                tracing::warn!("fleet: {head} is brought up to date, to become a voter");
+                tracing::warn!("fleet: adding {head} as a learner, to become a voter");
                 let address = VoterAddress { head, address, zone };
                 self.change_membership(ChangeMembers::AddNodes(BTreeMap::from([(store, address)]))).await
             }
-            RepairStep::Replace(out, into) => {
-                tracing::warn!("fleet: {} votes in the place of {}", name(into), name(out));
-                self.replace_voters(voters, Some(out), Some(into)).await
+            RepairStep::Replace(removed, added) => {
+                tracing::warn!("fleet: replacing voter {} by {}", name(removed), name(added));
+                self.replace_voters(voters, Some(removed), Some(added)).await
             }
-            RepairStep::Promote(into) => {
-                tracing::warn!("fleet: {} votes, too", name(into));
-                self.replace_voters(voters, None, Some(into)).await
+            RepairStep::Promote(added) => {
+                tracing::warn!("fleet: promoting learner {} to voter", name(added));
+                self.replace_voters(voters, None, Some(added)).await
             }
-            RepairStep::Remove(out) if voters.contains(&out) => {
-                tracing::warn!("fleet: {} votes no more", name(out));
-                self.replace_voters(voters, Some(out), None).await
+            RepairStep::Remove(removed) if voters.contains(&removed) => {
+                tracing::warn!("fleet: removing voter {}", name(removed));
+                self.replace_voters(voters, Some(removed), None).await
             }
-            RepairStep::Remove(out) => {
-                tracing::warn!("fleet: {} is not to become a voter after all", name(out));
-                self.change_membership(ChangeMembers::RemoveNodes(BTreeSet::from([out]))).await
+            RepairStep::Remove(removed) => {
+                tracing::warn!("fleet: removing learner {}", name(removed));
+                self.change_membership(ChangeMembers::RemoveNodes(BTreeSet::from([removed]))).await
             }
         }
     }
 
-    /// Changes the voters by one that leaves and one that joins, and counts the repair.
+    /// Removes a voter, adds a voter, or both in one membership change, and counts the repair.
     async fn replace_voters(
         &self,
         mut voters: BTreeSet<StoreId>,
-        out: Option<StoreId>,
-        into: Option<StoreId>,
+        removed: Option<StoreId>,
+        added: Option<StoreId>,
     ) -> Result<(), RepairError> {
-        voters.retain(|voter| Some(*voter) != out);
-        voters.extend(into);
+        voters.retain(|voter| Some(*voter) != removed);
+        voters.extend(added);
         self.change_membership(ChangeMembers::ReplaceAllVoters(voters)).await?;
         self.repairs.fetch_add(1, Ordering::Relaxed);
         Ok(())
@@ -156,20 +159,21 @@
         Ok(())
     }
 
-    /// The followers that may become voters, whichever member they are served by.
+    /// The followers that may become voters: those of this head and those that the other members report.
+    /// Members and relays are excluded.
     async fn candidates(&self, members: &[GroupMember]) -> Vec<VoterCandidate> {
         let mut followers: BTreeMap<StoreId, Downstream> = BTreeMap::new();
         let membership = self.state_machine.membership();
-        let mut answers = JoinSet::new();
+        let mut responses = JoinSet::new();
         for (_, voter) in membership.nodes().filter(|(store, _)| **store != self.raft_id()) {
-            let Some(to) = self.links.route(&voter.head, &voter.address) else { continue };
-            let links = self.links.clone();
-            answers.spawn(async move { links.request(to, &PeerRequest::Status, STATUS_TIMEOUT).await });
+            let Some(to) = self.network.route(&voter.head, &voter.address) else { continue };
+            let network = self.network.clone();
+            responses.spawn(async move { network.request(to, &PeerRequest::Status, STATUS_TIMEOUT).await });
         }
         let by_store = |follower: Downstream| (follower.store, follower);
         followers.extend(self.followers().subtree(now()).into_iter().map(by_store));
-        while let Some(answer) = answers.join_next().await {
-            if let Ok(Ok(PeerResponse::Status(status))) = answer {
+        while let Some(response) = responses.join_next().await {
+            if let Ok(Ok(PeerResponse::Status(status))) = response {
                 followers.extend(status.followers.into_iter().map(by_store));
             }
         }
--- a/crates/cluster/src/serve.rs
+++ b/crates/cluster/src/serve.rs
@@ -1,10 +1,10 @@
-//! The server side of connections between heads: accepts them, exchanges greetings, and answers requests one after the
-//! other. What is answered is decided by the [member](crate::member).
+//! The server side of connections between heads: accepts connections, exchanges greetings, and processes the
+//! requests of each connection one after the other. The [member](crate::member) determines the responses.
 
 use crate::environment::Connection;
-use crate::frame::{receive, send, within};
-use crate::link::GREETING_TIMEOUT;
+use crate::frame::{receive, send, with_timeout};
 use crate::member::Member;
+use crate::peer_network::GREETING_TIMEOUT;
 use crate::types::{PeerRequest, PeerResponse};
 use sedgerun_replication::greeting::{Greeting, Refusal};
 use sedgerun_replication::record::RecordType;
@@ -16,16 +16,16 @@
 use std::time::Duration;
 use tokio::net::TcpListener;
 
-/// A connection without a request for this long is closed.
+/// A connection on which no request arrives for this long is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
-/// Time in which a response must have been sent.
+/// Timeout for sending a response.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Pause after a connection that could not be accepted.
+/// Pause after a failed accept.
 const ACCEPT_RETRY: Duration = Duration::from_millis(20);
 
-/// Accepts connections of other heads, for as long as the future is polled.
+/// Accepts connections of other heads. Never returns.
 pub async fn serve(member: Arc<Member>, listener: TcpListener) {
-    // Counts connections: each has a clone of it.
+    // The strong count is the number of open connections plus one, as each connection has a clone.
     let connections = Arc::new(());
     loop {
         let Ok((stream, peer)) = listener.accept().await else {
@@ -33,8 +33,8 @@
             continue;
         };
         let member = Arc::clone(&member);
-        // Guards against callers that connect and stay: those past the limit are closed at once. The limit changes when
-        // this head becomes a voter, or no longer is one.
+        // Idle clients could use up the file descriptors, so connections beyond the limit are closed at once.
+        // The limit depends on whether this head votes, which may change.
         if Arc::strong_count(&connections) > member.settings.max_peer_connections(member.votes()) {
             continue;
         }
@@ -45,7 +45,7 @@
                 Err(error) => Err(error),
             };
             if let Err(error) = served {
-                log_refused(&member, peer, &error);
+                log_rejected(&member, peer, &error);
             }
             drop(permit);
         });
@@ -53,33 +53,35 @@
 }
 
 /// Counts and logs a connection that was closed because of a corrupt frame or a rejected greeting.
-fn log_refused(member: &Member, peer: SocketAddr, error: &io::Error) {
+fn log_rejected(member: &Member, peer: SocketAddr, error: &io::Error) {
     if matches!(error.kind(), io::ErrorKind::InvalidData | io::ErrorKind::PermissionDenied) {
-        let refused = member.rejected_connections.fetch_add(1, Ordering::Relaxed) + 1;
-        tracing::warn!("fleet: {peer}: {error}; connection closed, {refused} so far");
+        let count = member.rejected_connections.fetch_add(1, Ordering::Relaxed) + 1;
+        tracing::warn!("fleet: closed the connection from {peer} ({count} rejected so far): {error}");
     }
 }
 
-/// Answers the requests of one head until it closes the connection.
+/// Responds to the requests of one head until it closes the connection.
 ///
 /// # Errors
 /// The connection has failed, a frame was corrupt, or the head was rejected.
 pub async fn serve_connection(member: &Member, stream: Connection) -> io::Result<()> {
-    let mut stream = member.links.counted(stream);
-    let mut theirs: Greeting = within(GREETING_TIMEOUT, receive(&mut stream, RecordType::Greeting)).await?;
-    let own = member.links.own();
-    let admitted = member.links.admit(&own, &theirs);
-    let answer: Result<Greeting, Refusal> = admitted.clone().map(|()| own);
-    within(GREETING_TIMEOUT, send(&mut stream, RecordType::Greeting, &answer)).await?;
+    let mut stream = member.network.count_traffic(stream);
+    let mut theirs: Greeting =
+        with_timeout(GREETING_TIMEOUT, receive(&mut stream, RecordType::Greeting)).await?;
+    let own = member.network.own_greeting();
+    let admitted = member.network.admit(&own, &theirs);
+    let response: Result<Greeting, Refusal> = admitted.clone().map(|()| own);
+    with_timeout(GREETING_TIMEOUT, send(&mut stream, RecordType::Greeting, &response)).await?;
     if let Err(refusal) = admitted {
-        return Err(io::Error::new(io::ErrorKind::PermissionDenied, format!("{} is {refusal}", theirs.head)));
+        return Err(io::Error::new(io::ErrorKind::PermissionDenied, format!("{}: {refusal}", theirs.head)));
     }
     theirs.secret.clear();
     loop {
-        let request: PeerRequest = within(IDLE_TIMEOUT, receive(&mut stream, RecordType::Call)).await?;
+        let request: PeerRequest = with_timeout(IDLE_TIMEOUT, receive(&mut stream, RecordType::Call)).await?;
         let response = member.respond(request, &theirs).await;
-        within(RESPONSE_TIMEOUT, send(&mut stream, RecordType::Reply, &response)).await?;
-        // Guards against a whole zone that stays connected to a voter which has redirected it to its relays.
+        with_timeout(RESPONSE_TIMEOUT, send(&mut stream, RecordType::Reply, &response)).await?;
+        // A redirected follower connects to a relay next. Closing its connection keeps the followers of a
+        // whole zone from occupying the voter's connections.
         if let PeerResponse::Subscribed(SubscribeReply::Redirect(_)) = response {
             return Ok(());
         }
--- a/crates/cluster/src/settings.rs
+++ b/crates/cluster/src/settings.rs
@@ -1,6 +1,8 @@
-//! The settings of the cluster: the `(fleet ...)` form of the operator's file. Without it a process has no cluster.
+//! The settings of the cluster: the `(fleet ...)` form of the operator's file. A head without this form
+//! belongs to no cluster.
 //!
-//! Reading reports every fault to the [`Pairs`] and goes on, so that the operator sees all of them at once.
+//! Reading reports each invalid setting to the [`Pairs`] and continues, so that the operator sees all faults
+//! at once.
 
 use sedgerun_config::Pairs;
 use sedgerun_replication::follow::MAX_FOLLOWERS;
@@ -11,16 +13,18 @@
 
 /// The setting that names the voters.
 const VOTERS: &str = "fleet.voters";
-/// Deprecated spelling of [`VOTERS`]; read for one release more.
+/// Deprecated name of [`VOTERS`]; the next release no longer reads it.
 const DEPRECATED_VOTERS: &str = "fleet.keepers";
 
-/// The shortest secret, in bytes.
+/// Minimum length of the secret, in bytes.
 const MIN_SECRET_BYTES: usize = 16;
-/// File descriptors of the program where its settings do not say.
+/// Number of file descriptors that the program may use, if its settings do not limit them.
 pub const DEFAULT_SOCKETS: usize = 1024;
-/// Heads and command lines that are connected at once to an ordinary head; relays have as many beside their followers.
+/// Maximum number of connections from heads and command lines to a head that is neither a voter nor a relay.
+/// A relay accepts as many besides those of its followers.
 const MAX_PEER_CONNECTIONS: usize = 128;
-/// The same at a voter, which all heads of a zone may call first when they start together.
+/// Maximum number of connections to a voter. All heads of a zone may connect to the same voter when they
+/// start together.
 const MAX_VOTER_PEER_CONNECTIONS: usize = 1024;
 
 /// The settings of the cluster.
@@ -36,22 +40,23 @@
     pub dir: PathBuf,
     /// The voters by name, each with the address at which this head reaches it.
     pub voters: BTreeMap<String, SocketAddr>,
-    /// Further heads by name that this head reaches at other addresses than those that they announce.
+    /// Addresses of further heads by name, used instead of the addresses that those heads announce.
     pub heads: BTreeMap<String, SocketAddr>,
-    /// The address at which others reach this head; where it listens, if left out.
+    /// The address at which other heads reach this head; `None` for the listening address.
     pub address: Option<SocketAddr>,
     /// The zone that this head is in.
     pub zone: Option<String>,
     /// The region that this head is in.
     pub region: Option<String>,
-    /// This head is a relay: a follower set aside to serve many others.
+    /// Whether this head is a relay: a follower dedicated to serving many other followers.
     pub relay: bool,
-    /// File descriptors that the program may use; how many followers and callers a head accepts follows from it.
+    /// File descriptors that the program may use. They limit the numbers of followers and of peer
+    /// connections.
     pub sockets: usize,
 }
 
 impl Settings {
-    /// The keys of the form, as pairs.
+    /// The keys of the form's settings in the [`Pairs`].
     pub const KEYS: [&str; 11] = [
         "fleet.name",
         "fleet.secret",
@@ -66,7 +71,7 @@
         "fleet.relay",
     ];
 
-    /// Reads the form for a head of this name, if it is there. Faults are reported to the pairs.
+    /// Reads the form for the head `head`; `None` if there is no such form. Faults are reported to `pairs`.
     pub fn read(pairs: &Pairs, head: &str) -> Option<Settings> {
         if !pairs.keys().any(|key| key.starts_with("fleet.")) {
             return None;
@@ -79,16 +84,16 @@
         let heads = read_heads(pairs, "fleet.heads", pairs.text("fleet.heads").unwrap_or_default());
         let address = read_address(pairs);
         if !voters_text.is_empty() && voters.len().is_multiple_of(2) {
-            let what = format!("setting {voters_key} names {}: an odd number keeps", voters.len());
-            pairs.fault(voters_key, what);
+            let fault = format!("setting {voters_key} names {}: an odd number keeps", voters.len());
+            pairs.fault(voters_key, fault);
         }
         let relay = read_relay(pairs);
         if relay && voters.contains_key(head) {
-            let what =
+            let fault =
                 format!("setting fleet.relay: {head} is among {voters_key}, and a relay does not vote");
-            pairs.fault("fleet.relay", what);
+            pairs.fault("fleet.relay", fault);
         }
-        // Two sources of tenants would contradict each other.
+        // With two sources, the tenants of the file could contradict those of the replicated state.
         if pairs.text("exports.count").is_some_and(|count| count != "0") {
             pairs.fault(
                 "fleet.name",
@@ -103,8 +108,8 @@
             voters,
             heads,
             address,
-            zone: read_place(pairs, "fleet.zone"),
-            region: read_place(pairs, "fleet.region"),
+            zone: read_location(pairs, "fleet.zone"),
+            region: read_location(pairs, "fleet.region"),
             relay,
             sockets: DEFAULT_SOCKETS,
         })
@@ -115,12 +120,13 @@
         if self.relay { FollowerRole::Relay } else { FollowerRole::Head }
     }
 
-    /// Followers that this head serves directly, at most: a relay leaves a quarter of its file descriptors to all else.
+    /// Maximum number of followers that this head serves directly. A relay reserves a quarter of its file
+    /// descriptors for other uses.
     pub fn follower_capacity(&self) -> usize {
         if self.relay { RELAY_CAPACITY.min(self.sockets * 3 / 4).max(MAX_FOLLOWERS) } else { MAX_FOLLOWERS }
     }
 
-    /// Heads and command lines that are connected at once, at most.
+    /// Maximum number of connections from other heads and command lines.
     pub fn max_peer_connections(&self, votes: bool) -> usize {
         match (self.relay, votes) {
             (true, _) => self.follower_capacity() + MAX_PEER_CONNECTIONS.min(self.sockets / 8),
@@ -129,21 +135,21 @@
         }
     }
 
-    /// The addresses at which this head reaches others, by their names.
+    /// The addresses at which this head reaches other heads, by name.
     pub fn routes(&self) -> BTreeMap<String, SocketAddr> {
         self.heads.iter().chain(&self.voters).map(|(head, at)| (head.clone(), *at)).collect()
     }
 }
 
-/// The key under which the voters are given: [`VOTERS`], or its deprecated spelling, which is logged. Both at once
-/// are a fault.
+/// The key under which the voters are given: [`VOTERS`], or its deprecated name, for which a warning is
+/// logged. Giving both is a fault.
 fn voters_key(pairs: &Pairs) -> &'static str {
     match (pairs.text(VOTERS), pairs.text(DEPRECATED_VOTERS)) {
         (Some(_), Some(_)) => {
-            let what = format!(
+            let fault = format!(
                 "settings {VOTERS} and {DEPRECATED_VOTERS} are both given: {DEPRECATED_VOTERS} is deprecated, leave it out"
             );
-            pairs.fault(DEPRECATED_VOTERS, what);
+            pairs.fault(DEPRECATED_VOTERS, fault);
             VOTERS
         }
         (None, Some(_)) => {
@@ -162,6 +168,8 @@
     }
 }
 
+/// Reads the listening address. A faulty one is replaced by any free local port, so that reading can
+/// continue.
 fn read_listen(pairs: &Pairs) -> SocketAddr {
     let text = pairs.required("fleet.listen");
     text.parse().unwrap_or_else(|_| {
@@ -198,7 +206,7 @@
     }
 }
 
-/// Reads a list of heads, `name=address` joined by commas.
+/// Reads a comma-separated list of heads, each as `name=address`.
 fn read_heads(pairs: &Pairs, key: &str, text: &str) -> BTreeMap<String, SocketAddr> {
     let mut heads = BTreeMap::new();
     for head in text.split(',').filter(|head| !head.is_empty()) {
@@ -215,11 +223,12 @@
 }
 
 /// Reads the name of a zone or a region.
-fn read_place(pairs: &Pairs, key: &str) -> Option<String> {
+fn read_location(pairs: &Pairs, key: &str) -> Option<String> {
     pairs.text(key).filter(|place| !place.is_empty()).map(str::to_owned)
 }
 
-/// The address at which the command line reaches this head: the one that other heads use, or where it listens.
+/// The address at which the command line reaches this head: the one in the settings for other heads, or the
+/// listening address.
 pub fn own_address(settings: &Settings, head: &str) -> SocketAddr {
     settings.routes().get(head).copied().or(settings.address).unwrap_or(settings.listen)
 }
--- a/crates/cluster/src/state_machine.rs
+++ b/crates/cluster/src/state_machine.rs
@@ -1,10 +1,11 @@
 //! The state machine of the consensus library: applies committed entries, builds snapshots and installs them.
 //!
-//! The state is in memory; the disk has the last snapshot and the log behind it. Beside the state that this head applies
-//! as a voter, it has the view that it receives as a follower, and readers see the newer of the two. Only the consensus
-//! library and the [follower](crate::follow) may change them.
+//! The state is in memory; the disk has the last snapshot and the log entries after it. Besides the state
+//! that this head applies as a voter, the state machine contains the view that the head receives as a
+//! follower; readers see the newer of the two. Only the consensus library and the [follower](crate::follow)
+//! may change them.
 
-use crate::disk::{Disk, crash_point};
+use crate::disk::{Disk, failpoint};
 use crate::raft_log::storage_error;
 use crate::types::{Entry, LogId, Membership, RaftTypes, SnapshotMeta, StorageError};
 use openraft::storage::RaftStateMachine;
@@ -18,15 +19,15 @@
 use thiserror::Error;
 use tokio::sync::watch;
 
-/// A snapshot and its encoded state.
+/// The metadata of a snapshot and its encoded state.
 type EncodedSnapshot = (SnapshotMeta, Vec<u8>);
 
 /// The state of a snapshot cannot be decoded.
 #[derive(Debug, Error)]
-#[error("state of a snapshot: {0}")]
+#[error("cannot decode the state of a snapshot: {0}")]
 pub struct CorruptSnapshot(#[source] CorruptRecord);
 
-/// The state machine, shared by all readers.
+/// The state machine; clones share the same state.
 #[derive(Clone)]
 pub struct StateMachine {
     disk: Disk,
@@ -35,31 +36,35 @@
 }
 
 struct MachineData {
-    /// What this head has applied as a voter.
+    /// The state that this head has applied as a voter.
     state: ReplicatedState,
-    /// What it has received as a follower, if that is newer.
-    followed: View,
-    /// The last entry that was applied.
+    /// The view that this head has received as a follower; empty if the applied state is as new.
+    follower_view: View,
+    /// Log position of the last applied entry.
     applied: Option<LogId>,
     membership: Membership,
     snapshot: Option<(SnapshotMeta, Arc<Vec<u8>>)>,
 }
 
 impl MachineData {
-    /// The newer of the two, which are of one history.
+    /// The newer of the applied state and the follower's view. Both are versions of one history.
     fn view(&self) -> &View {
-        if self.followed.version > self.state.view.version { &self.followed } else { &self.state.view }
+        if self.follower_view.version > self.state.view.version {
+            &self.follower_view
+        } else {
+            &self.state.view
+        }
     }
 
     /// The state of a snapshot, or an empty one, with the log entries up to an index applied.
     fn replay(
         snapshot: Option<EncodedSnapshot>,
         log: &BTreeMap<u64, Entry>,
-        upto: u64,
+        up_to: u64,
     ) -> Result<MachineData, CorruptSnapshot> {
         let mut data = MachineData {
             state: ReplicatedState::default(),
-            followed: View::default(),
+            follower_view: View::default(),
             applied: None,
             membership: Membership::default(),
             snapshot: None,
@@ -70,8 +75,8 @@
             data.snapshot = Some((meta, Arc::new(bytes)));
         }
         let from = data.applied.map_or(0, |applied| applied.index + 1);
-        if from <= upto {
-            log.range(from..=upto).for_each(|(_, entry)| drop(data.apply(entry.clone())));
+        if from <= up_to {
+            log.range(from..=up_to).for_each(|(_, entry)| drop(data.apply(entry.clone())));
         }
         Ok(data)
     }
@@ -90,16 +95,17 @@
         }
     }
 
-    /// Drops what was received as a follower once the state of its own is as new.
-    fn drop_outdated_view(&mut self) {
-        if self.followed.version > 0 && self.followed.version <= self.state.view.version {
-            self.followed = View::default();
+    /// Drops the view that was received as a follower once the applied state is as new.
+    fn drop_outdated_follower_view(&mut self) {
+        if self.follower_view.version > 0 && self.follower_view.version <= self.state.view.version {
+            self.follower_view = View::default();
         }
     }
 }
 
 impl StateMachine {
-    /// The state of a snapshot, or an empty one, with the entries applied that were known to be committed.
+    /// Creates a state machine from the snapshot, or from an empty state, with the log entries up to
+    /// `committed` applied.
     ///
     /// # Errors
     /// The state of the snapshot cannot be decoded.
@@ -108,11 +114,12 @@
         snapshot: Option<EncodedSnapshot>,
         log: &BTreeMap<u64, Entry>,
         committed: Option<LogId>,
-        followed: View,
+        follower_view: View,
     ) -> Result<StateMachine, CorruptSnapshot> {
-        // Applied here, so that the serving thread has them before it serves.
+        // Entries are applied before the consensus library starts, so that the serving thread has them when
+        // it begins to serve clients.
         let mut data = MachineData::replay(snapshot, log, committed.map_or(0, |at| at.index))?;
-        data.followed = followed;
+        data.follower_view = follower_view;
         let version = Arc::new(watch::Sender::new(data.view().version));
         Ok(StateMachine { disk, data: Arc::new(Mutex::new(data)), version })
     }
@@ -121,7 +128,7 @@
         self.data.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Reads the newest view of this head; `read` must be short, as it holds the lock.
+    /// Reads the newest view of this head. `read` must be short, as it runs under the lock.
     pub fn read<T>(&self, read: impl FnOnce(&View) -> T) -> T {
         read(self.lock().view())
     }
@@ -132,36 +139,36 @@
     }
 
     /// Applies an update that this head receives as a follower.
-    pub fn update_followed<T>(&self, update: impl FnOnce(&mut View) -> T) -> T {
+    pub fn update_follower_view<T>(&self, update: impl FnOnce(&mut View) -> T) -> T {
         let updated = {
             let mut data = self.lock();
-            // What it has applied as a voter may be newer; then the update is applied to that.
-            if data.followed.version < data.state.view.version {
-                data.followed = data.state.view.clone();
+            // If the applied state is newer, the update is applied to a copy of that state.
+            if data.follower_view.version < data.state.view.version {
+                data.follower_view = data.state.view.clone();
             }
-            update(&mut data.followed)
+            update(&mut data.follower_view)
         };
         self.publish();
         updated
     }
 
-    /// What this head has received as a follower, if that is newer than what it has applied.
-    pub fn followed(&self) -> Option<View> {
+    /// The view that this head has received as a follower, if it is newer than the applied state.
+    pub fn follower_view(&self) -> Option<View> {
         let data = self.lock();
-        (data.followed.version > data.state.view.version).then(|| data.followed.clone())
+        (data.follower_view.version > data.state.view.version).then(|| data.follower_view.clone())
     }
 
-    /// The version of what it has received as a follower; 0 for nothing.
-    pub fn followed_version(&self) -> u64 {
-        self.lock().followed.version
+    /// The version of the view that this head has received as a follower; 0 if there is none.
+    pub fn follower_view_version(&self) -> u64 {
+        self.lock().follower_view.version
     }
 
-    /// The membership, as last applied.
+    /// The last applied membership.
     pub fn membership(&self) -> Membership {
         self.lock().membership.clone()
     }
 
-    /// The version of the newest view, as it changes.
+    /// Subscribes to the version of the newest view.
     pub fn watch_version(&self) -> watch::Receiver<u64> {
         self.version.subscribe()
     }
@@ -179,9 +186,9 @@
 pub fn replay(
     snapshot: Option<EncodedSnapshot>,
     log: &BTreeMap<u64, Entry>,
-    upto: u64,
+    up_to: u64,
 ) -> Result<ReplicatedState, CorruptSnapshot> {
-    Ok(MachineData::replay(snapshot, log, upto)?.state)
+    Ok(MachineData::replay(snapshot, log, up_to)?.state)
 }
 
 fn decode_state(bytes: &[u8]) -> Result<ReplicatedState, CorruptSnapshot> {
@@ -226,7 +233,7 @@
         let outcomes = {
             let mut data = self.lock();
             let outcomes = entries.into_iter().map(|entry| data.apply(entry)).collect();
-            data.drop_outdated_view();
+            data.drop_outdated_follower_view();
             outcomes
         };
         self.publish();
@@ -250,13 +257,13 @@
         let state = decode_state(&bytes).map_err(|error| storage_error(ErrorVerb::Read, error))?;
         let saved = self.disk.put_snapshot(meta, &bytes).await;
         saved.map_err(|error| storage_error(ErrorVerb::Write, error))?;
-        crash_point("after a snapshot is installed");
+        failpoint("after a snapshot is installed");
         {
             let mut data = self.lock();
             (data.state, data.applied) = (state, meta.last_log_id);
             data.membership = meta.last_membership.clone();
             data.snapshot = Some((meta.clone(), Arc::new(bytes)));
-            data.drop_outdated_view();
+            data.drop_outdated_follower_view();
         }
         self.publish();
         Ok(())
--- a/crates/cluster/src/traffic.rs
+++ b/crates/cluster/src/traffic.rs
@@ -8,7 +8,7 @@
 use std::task::{Context, Poll};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// Counters of one kind of traffic of one head; they only grow.
+/// Counters of one kind of traffic of one head. They are never reset.
 #[derive(Debug, Default)]
 pub struct Traffic {
     bytes_received: AtomicU64,
@@ -17,7 +17,7 @@
     messages_sent: AtomicU64,
 }
 
-/// The counters at one time. Bytes are those of TCP payloads.
+/// Values of the counters at one time. Bytes are those of TCP payloads.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TrafficTotals {
     /// Bytes received.
@@ -51,7 +51,7 @@
         self.messages_sent.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// The counters now.
+    /// The current values of the counters.
     pub fn totals(&self) -> TrafficTotals {
         TrafficTotals {
             bytes_received: self.bytes_received.load(Ordering::Relaxed),
@@ -63,12 +63,12 @@
 }
 
 impl TrafficTotals {
-    /// Bytes in both directions.
+    /// Bytes received and sent.
     pub fn total_bytes(&self) -> u64 {
         self.bytes_received + self.bytes_sent
     }
 
-    /// The sum of both.
+    /// The sum of two totals.
     pub fn plus(&self, other: &TrafficTotals) -> TrafficTotals {
         TrafficTotals {
             bytes_received: self.bytes_received + other.bytes_received,
@@ -78,14 +78,15 @@
         }
     }
 
-    /// The totals under these metric names: bytes received and sent, messages received and sent.
+    /// Pairs of metric name and value. `names` are those of bytes received, bytes sent, messages received and
+    /// messages sent, in this order.
     pub fn as_metrics(&self, names: [&'static str; 4]) -> [(&'static str, u64); 4] {
         let totals = [self.bytes_received, self.bytes_sent, self.messages_received, self.messages_sent];
         std::array::from_fn(|i| (names[i], totals[i]))
     }
 }
 
-/// A connection whose payload is counted.
+/// A connection whose payload bytes are counted.
 #[derive(Debug)]
 pub struct CountedStream<S> {
     stream: S,
@@ -93,12 +94,12 @@
 }
 
 impl<S> CountedStream<S> {
-    /// Counts a connection's payload in `traffic`.
+    /// Wraps a connection and counts its payload bytes in `traffic`.
     pub fn new(stream: S, traffic: Arc<Traffic>) -> CountedStream<S> {
         CountedStream { stream, traffic }
     }
 
-    /// The counters.
+    /// The counters in which this connection is counted.
     pub fn traffic(&self) -> &Traffic {
         &self.traffic
     }
