--- a/crates/cluster/src/types/messages.rs
+++ b/crates/cluster/src/types/messages.rs
@@ -1,4 +1,6 @@
 //! The messages between heads: requests and their responses.
+//!
+//! Variants are encoded by position, so their order is part of the wire format.
 
 use super::{DistributionStatus, HeadStatus, LogId, RaftTypes, VoterAddress};
 use openraft::error::SnapshotMismatch;
@@ -13,97 +15,99 @@
 use sedgerun_replication::view::Chunk;
 use serde::{Deserialize, Serialize};
 
-/// A request of one head, or of the command line, to another head.
+/// A request from a head or from the command line to another head.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum PeerRequest {
-    /// Raft: entries, or a heartbeat.
+    /// Raft: log entries; a heartbeat if there are none.
     Append(AppendEntriesRequest<RaftTypes>),
-    /// Raft: a vote in an election.
+    /// Raft: requests a vote in an election.
     Vote(VoteRequest<StoreId>),
     /// Raft: a chunk of a snapshot.
     Snapshot(InstallSnapshotRequest<RaftTypes>),
-    /// A change for the leader to make, with the time left for it in milliseconds.
+    /// Commits a change; sent to the leader. The number is the time left for it, in milliseconds.
     CommitChange(Change, u64),
-    /// The version that a linearizable read must see.
+    /// Requests the version that a linearizable read must have reached; sent to the leader.
     LinearizableVersion,
-    /// The status of the head.
+    /// Requests the receiver's status.
     Status,
-    /// Begin the cluster with the voters of the settings.
+    /// Begins the cluster with the voters of the receiver's settings.
     Begin,
-    /// Pre-vote: whether the receiver hears from no leader either. Sent by a voter whose log ends at this position.
+    /// Requests a pre-vote before an election, with the position of the sender's last log entry (`None`:
+    /// empty log).
     PreVote(Option<LogId>),
-    /// The poll of a follower of an earlier version.
+    /// Polls for an update, in the form of followers of an earlier version.
     LegacyPoll(Box<LegacyPollRequest>),
-    /// A chunk of the state, from `since` and `first_version` ([`View::chunk`](sedgerun_replication::View::chunk)).
+    /// Requests a chunk of the state, from `since` and `first_version`
+    /// ([`View::chunk`](sedgerun_replication::View::chunk)).
     Chunk(u64, u64),
-    /// Make a change, wherever the leader is. Sent by the command line.
+    /// Submits a change, which the receiver forwards to the leader. Sent by the command line.
     SubmitChange(Change),
-    /// The poll of a follower. Heads of earlier versions do not know this request, nor those below, and close the
-    /// connection.
+    /// Polls for an update as a follower. Heads of earlier versions know neither this request nor those
+    /// below, and close the connection when they receive one.
     Subscribe(Box<Subscription>),
-    /// Grant or renew the lease of the relay that sends this.
+    /// Registers the sender as a relay: the receiver grants or renews its lease.
     RegisterRelay(RelayRegistration),
-    /// The position of the head among relays and followers.
+    /// Requests the receiver's position among relays and followers.
     Distribution,
 }
 
-/// What a relay says about itself beyond its greeting.
+/// The properties of a relay that its greeting does not contain.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RelayRegistration {
-    /// Its region, if it has one.
+    /// The relay's region, if it has one.
     pub region: Option<String>,
-    /// Followers that it serves directly.
+    /// Number of followers that the relay serves directly.
     pub followers: u32,
 }
 
-/// The poll of a follower of an earlier version.
+/// A poll for an update, in the form of followers of an earlier version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LegacyPollRequest {
-    /// The follower, and the version that it has.
+    /// The polling follower, with the version that it has.
     pub follower: Downstream,
-    /// Its own subtree, with some of the polls.
+    /// The heads that follow this follower, directly or indirectly; `None` in polls that do not report them.
     pub subtree: Option<Vec<Downstream>>,
-    /// It has all changes up to this version.
+    /// The follower has all changes up to this version.
     pub since: u64,
-    /// The version at which its transfer began; 0 if there is none.
+    /// The version at which the transfer in progress began; 0 if there is none.
     pub first_version: u64,
-    /// How long it waits for an update, in milliseconds.
+    /// How long the upstream may wait for a change before it responds, in milliseconds.
     pub wait_ms: u64,
 }
 
 /// The response to a [`PeerRequest`].
 #[derive(Debug, Serialize, Deserialize)]
 pub enum PeerResponse {
-    /// To entries.
+    /// To [`PeerRequest::Append`].
     Append(AppendEntriesResponse<StoreId>),
-    /// To a vote request.
+    /// To [`PeerRequest::Vote`].
     Vote(VoteResponse<StoreId>),
-    /// To a chunk of a snapshot.
+    /// To [`PeerRequest::Snapshot`].
     Snapshot(InstallSnapshotResponse<StoreId>),
-    /// The chunks of a snapshot came out of order: the transfer starts over.
+    /// The chunks of a snapshot arrived out of order; the sender restarts the transfer.
     Mismatch(SnapshotMismatch),
     /// The outcome of a change.
     Changed(ChangeOutcome),
-    /// A version.
+    /// The version that a linearizable read must have reached.
     LinearizableVersion(u64),
-    /// The status of the head.
+    /// The status of the responding head.
     Status(Box<HeadStatus>),
     /// The cluster has begun.
     Begun,
-    /// To a pre-vote: this store, and whether it hears from no leader either and would not reject the sender's log.
+    /// To a pre-vote: the responding store, and whether it grants the pre-vote.
     PreVote(StoreId, bool),
-    /// To a follower of an earlier version, with the origin of the cluster.
+    /// An update for a follower of an earlier version, with the origin of the cluster.
     LegacyUpdate(Option<u64>, UpdateReply),
     /// A chunk of the state.
     Chunk(Chunk),
-    /// This head does not lead; this one does, as far as it knows.
+    /// The responding head is not the leader. Contains the leader that it knows, if any.
     NotLeader(Option<VoterAddress>),
-    /// Not done, for this reason.
+    /// The request was rejected, for this reason.
     Rejected(String),
-    /// To the poll of a follower.
+    /// To [`PeerRequest::Subscribe`]: an update, a redirect or a retry-after.
     Subscribed(SubscribeReply),
-    /// The lease is granted.
+    /// The relay's lease was granted or renewed.
     Registered,
-    /// The position of the head among relays and followers.
+    /// The position of the responding head among relays and followers.
     Distribution(Box<DistributionStatus>),
 }
--- a/crates/cluster/src/types/mod.rs
+++ b/crates/cluster/src/types/mod.rs
@@ -1,8 +1,8 @@
-//! The data types of a cluster: those of the consensus library as used here, the messages between heads, and the status
-//! of a head.
+//! The data types of a cluster: the consensus library's types with this cluster's parameters, the messages
+//! between heads, and the status of a head.
 //!
-//! All of them are encoded, so the order of variants and fields is part of the wire and disk formats. Types only; nothing
-//! here acts.
+//! All of these types are encoded by position, so the order of their variants and fields is part of the wire
+//! and disk formats.
 
 mod messages;
 mod raft;
--- a/crates/cluster/src/upstream.rs
+++ b/crates/cluster/src/upstream.rs
@@ -1,7 +1,8 @@
 //! Serving updates to followers, as their upstream.
 //!
-//! Which followers are served is decided by [`Followers`](sedgerun_replication::follow::Followers), and what each of them
-//! gets by [`UpdateSource`]; here the polls wait for changes, and large transfers for permits.
+//! [`Followers`](sedgerun_replication::follow::Followers) decides which followers are served, and
+//! [`UpdateSource`] which update each of them gets. In this module, polls wait for changes and large
+//! transfers acquire permits.
 
 use crate::environment::now;
 use crate::member::Member;
@@ -22,16 +23,17 @@
 /// Approximate size of one chunk of an update, in bytes.
 const CHUNK_BYTES: usize = 256 << 10;
 
-/// The refusal of a head that shares its name with another.
+/// Reason for rejecting a head that has the same name as another one.
 const DUPLICATE_NAME: &str = "two heads have this name";
-/// The refusal of a head that has no state to serve yet.
-const NO_STATE_YET: &str = "has heard nothing of the fleet yet";
+/// Reason for rejecting a poll while this head has no state to serve.
+const NO_STATE_YET: &str = "this head has received no update yet";
 
 impl Member {
-    /// Answers the poll of a follower: with an update as soon as there is one.
+    /// Responds to the poll of a follower: with an update as soon as there is one or the poll's wait has
+    /// passed, or with a redirect if the follower is not admitted.
     pub async fn serve_subscription(&self, subscription: Subscription, from: &Greeting) -> PeerResponse {
         let Some(store) = from.store else {
-            return PeerResponse::Rejected("a follower has a store".into());
+            return PeerResponse::Rejected("only a head with a store can follow".into());
         };
         let downstream = Downstream {
             at: Peer { head: from.head.clone(), address: from.address.clone() },
@@ -62,7 +64,8 @@
         PeerResponse::Subscribed(self.update_within_permits(&source, &subscription, store))
     }
 
-    /// The update for a follower, or a retry-after while enough large transfers are in progress.
+    /// The update for a follower, or a retry-after if it is large and all permits for large transfers are
+    /// taken.
     fn update_within_permits(
         &self,
         source: &UpdateSource,
@@ -70,7 +73,7 @@
         store: StoreId,
     ) -> SubscribeReply {
         let may_transfer = self.transfer_permits().is_available(now(), store);
-        // A large chunk that could not be sent is not built.
+        // Without a permit only a small chunk could be sent, so no large one is built.
         let max_bytes = if may_transfer { CHUNK_BYTES } else { SMALL_CHUNK_BYTES };
         let update = self.state_machine.read(|view| source.update(view, subscription, max_bytes));
         if update.chunk.as_ref().is_some_and(needs_permit)
@@ -84,17 +87,18 @@
         SubscribeReply::Update(update)
     }
 
-    /// Answers the poll of a follower of an earlier version.
+    /// Responds to the poll of a follower of an earlier version.
     pub async fn serve_update(&self, request: LegacyPollRequest, from: &Greeting) -> PeerResponse {
         if from.store != Some(request.follower.store) {
-            return PeerResponse::Rejected("a follower asks for another store than its own".into());
+            return PeerResponse::Rejected("the store in the poll is not the store of the greeting".into());
         }
         let LegacyPollRequest { follower, subtree, since, first_version, wait_ms } = request;
         let version_of_follower = follower.version;
         let follower = PollingFollower {
             downstream: follower,
             role: FollowerRole::Head,
-            // It cannot say whether it reaches a relay, so it is served as before there were relays.
+            // A follower of an earlier version cannot report that it reaches no relay, so it is not
+            // redirected to relays.
             bypass_relays: true,
             summary: subtree.map(Summary::of_list),
         };
@@ -109,7 +113,8 @@
                 );
             }
         }
-        // A follower that is ahead of this head is answered at once, so that it looks for another.
+        // A follower that is ahead of this head gets its response at once, so that it chooses another
+        // upstream.
         let is_due = |version| first_version != 0 || version_of_follower != since || version != since;
         self.wait_for_change(wait_ms.min(RELAY_WAIT_MS), is_due).await;
         let Some(UpdateSource { route, age, .. }) = self.update_source() else {
@@ -120,12 +125,14 @@
         PeerResponse::LegacyUpdate(origin, UpdateReply::Chunk { chunk, path, age, leader, voters })
     }
 
-    /// The next chunk for a head that has everything up to `since`, in a transfer that began at `first_version`.
+    /// The next chunk for a head that has all changes up to `since`, in a transfer that began at
+    /// `first_version`.
     pub fn serve_chunk(&self, since: u64, first_version: u64) -> Chunk {
         self.state_machine.read(|view| view.chunk(since, first_version, CHUNK_BYTES))
     }
 
-    /// Where a follower of an earlier version may be served: by the relays, and by this head's own followers.
+    /// The heads to which a follower of an earlier version is redirected: the relays and this head's own
+    /// followers.
     fn legacy_redirect(&self) -> Vec<Peer> {
         let directory = self.directory().unwrap_or_default();
         let mut peers: Vec<Peer> = directory.relays().iter().map(|relay| relay.peer.clone()).collect();
@@ -134,17 +141,17 @@
         peers
     }
 
-    /// Waits until an answer is due at this head's version, for `wait_ms` milliseconds at most.
+    /// Waits until `is_due` holds for this head's version, for `wait_ms` milliseconds at most.
     async fn wait_for_change(&self, wait_ms: u64, is_due: impl Fn(u64) -> bool) {
         let mut versions = self.state_machine.watch_version();
         let changed = versions.wait_for(|version| is_due(*version));
         let _ = tokio::time::timeout(Duration::from_millis(wait_ms), changed).await;
     }
 
-    /// What this head has to serve beside its view; `None` before its first update.
+    /// The data that this head serves to followers besides its view; `None` before its first update.
     fn update_source(&self) -> Option<UpdateSource> {
         let (path, age) = self.path_and_age();
-        let (age, own) = (age?, self.links.own());
+        let (age, own) = (age?, self.network.own_greeting());
         let origin = Some(own.origin?);
         let leads = self.leads().then_some(Peer { head: own.head, address: own.address });
         let leader = leads.or_else(|| self.leader());
@@ -152,8 +159,8 @@
         Some(UpdateSource { route, age, directory: self.directory() })
     }
 
-    /// The relays that this head knows: as a voter by their leases, else from its upstream; `None` if it does not know
-    /// whether there are any.
+    /// The relays that this head knows: a voter from their leases, a follower from its upstream. `None` if
+    /// this head does not know whether there are relays.
     pub fn directory(&self) -> Option<Directory> {
         let registered = self.voting_registry().directory(now());
         registered.or_else(|| self.follower().directory().cloned())
--- a/crates/cluster/src/voter_connection.rs
+++ b/crates/cluster/src/voter_connection.rs
@@ -1,10 +1,11 @@
-//! Raft over connections between heads: the consensus library's requests to other voters, and its responses to theirs.
+//! Raft over connections between heads: sends the consensus library's requests to other voters, and passes
+//! their requests to the library.
 //!
-//! Each [`VoterConnection`] belongs to the consensus library, which retries. What a voter acknowledges here is noted as
-//! its watermark.
+//! Each [`VoterConnection`] is owned by the consensus library, which retries failed requests. What a voter
+//! acknowledges is recorded as the watermark of its store.
 
-use crate::frame::{CountedConnection, exchange, within};
-use crate::link::Links;
+use crate::frame::{CountedConnection, exchange, with_timeout};
+use crate::peer_network::PeerNetwork;
 use crate::types::{PeerRequest, PeerResponse, Raft, RaftTypes, VoterAddress};
 use openraft::error::{InstallSnapshotError, NetworkError, RPCError, RaftError, RemoteError, Unreachable};
 use openraft::network::RPCOption;
@@ -20,26 +21,28 @@
 
 /// The connection to one voter, for the consensus library.
 pub struct VoterConnection {
-    links: Links,
+    network: PeerNetwork,
     target: StoreId,
+    /// The voter's address; `None` if it is malformed.
     to: Option<SocketAddr>,
     stream: Option<CountedConnection>,
-    /// The incarnation of the store at the other end.
+    /// The incarnation of the voter's store, from its greeting on the current connection.
     incarnation: Incarnation,
 }
 
 impl VoterConnection {
-    /// Sends a request; the connection is kept until an error.
+    /// Sends a request on the kept connection, or on a new one. The connection is dropped after an error.
     async fn request(&mut self, request: &PeerRequest, option: &RPCOption) -> io::Result<PeerResponse> {
-        let to = self.to.ok_or_else(|| io::Error::other("no address"))?;
+        let to = self.to.ok_or_else(|| io::Error::other("the voter's address is malformed"))?;
         let exchanged = async {
             let mut stream = match self.stream.take() {
                 Some(stream) => stream,
                 None => {
-                    let (stream, greeting) = self.links.dial(to).await?;
-                    // Guards against counting another store in the place of the voter that had this address.
+                    let (stream, greeting) = self.network.dial(to).await?;
+                    // Another store may use the voter's address now; its acknowledgements must not count as
+                    // the voter's.
                     if greeting.store != Some(self.target) {
-                        return Err(io::Error::other("another store lives there"));
+                        return Err(io::Error::other("the head at the voter's address has another store"));
                     }
                     self.incarnation = greeting.incarnation;
                     stream
@@ -47,13 +50,13 @@
             };
             let response = exchange(&mut stream, request).await?;
             self.stream = Some(stream);
-            // Guards against a voter that answers but no longer stores anything: it counts as silent.
+            // A voter that rejects Raft requests stores nothing, so it counts as unresponsive.
             if !matches!(response, PeerResponse::Rejected(_)) {
-                self.links.record_answer(self.target);
+                self.network.record_response(self.target);
             }
             Ok(response)
         };
-        within(option.hard_ttl(), exchanged).await
+        with_timeout(option.hard_ttl(), exchanged).await
     }
 }
 
@@ -61,13 +64,13 @@
     RPCError::Unreachable(Unreachable::new(error))
 }
 
-/// The error for a refusal, or for a response that does not fit the request.
-fn refused<E: std::error::Error>(response: &PeerResponse) -> RPCError<StoreId, VoterAddress, E> {
-    let what = match response {
+/// The error for a rejected request, or for a response that does not fit the request.
+fn request_failed<E: std::error::Error>(response: &PeerResponse) -> RPCError<StoreId, VoterAddress, E> {
+    let reason = match response {
         PeerResponse::Rejected(why) => why.clone(),
-        _ => "an answer to something else".to_owned(),
+        _ => "unexpected type of response".to_owned(),
     };
-    RPCError::Network(NetworkError::new(&io::Error::other(what)))
+    RPCError::Network(NetworkError::new(&io::Error::other(reason)))
 }
 
 impl RaftNetwork<RaftTypes> for VoterConnection {
@@ -79,14 +82,14 @@
         let last = rpc.entries.last().map(|entry| entry.log_id).or(rpc.prev_log_id);
         let vote = rpc.vote.leader_id().term;
         match self.request(&PeerRequest::Append(rpc), &option).await {
-            Ok(PeerResponse::Append(answer)) => {
-                if let AppendEntriesResponse::Success = answer {
+            Ok(PeerResponse::Append(response)) => {
+                if let AppendEntriesResponse::Success = response {
                     let last = last.map_or((0, 0), |last| (last.leader_id.term, last.index));
-                    self.links.observe(self.target, self.incarnation, Watermark { vote, last });
+                    self.network.observe(self.target, self.incarnation, Watermark { vote, last });
                 }
-                Ok(answer)
+                Ok(response)
             }
-            Ok(other) => Err(refused(&other)),
+            Ok(other) => Err(request_failed(&other)),
             Err(error) => Err(unreachable(&error)),
         }
     }
@@ -100,12 +103,12 @@
         RPCError<StoreId, VoterAddress, RaftError<StoreId, InstallSnapshotError>>,
     > {
         match self.request(&PeerRequest::Snapshot(rpc), &option).await {
-            Ok(PeerResponse::Snapshot(answer)) => Ok(answer),
+            Ok(PeerResponse::Snapshot(response)) => Ok(response),
             Ok(PeerResponse::Mismatch(mismatch)) => {
                 let error = RaftError::APIError(InstallSnapshotError::SnapshotMismatch(mismatch));
                 Err(RPCError::RemoteError(RemoteError::new(self.target, error)))
             }
-            Ok(other) => Err(refused(&other)),
+            Ok(other) => Err(request_failed(&other)),
             Err(error) => Err(unreachable(&error)),
         }
     }
@@ -117,47 +120,53 @@
     ) -> Result<VoteResponse<StoreId>, RPCError<StoreId, VoterAddress, RaftError<StoreId>>> {
         let vote = rpc.vote.leader_id().term;
         match self.request(&PeerRequest::Vote(rpc), &option).await {
-            Ok(PeerResponse::Vote(answer)) => {
-                if answer.vote_granted {
+            Ok(PeerResponse::Vote(response)) => {
+                if response.vote_granted {
                     let watermark = Watermark { vote, ..Watermark::default() };
-                    self.links.observe(self.target, self.incarnation, watermark);
+                    self.network.observe(self.target, self.incarnation, watermark);
                 }
-                Ok(answer)
+                Ok(response)
             }
-            Ok(other) => Err(refused(&other)),
+            Ok(other) => Err(request_failed(&other)),
             Err(error) => Err(unreachable(&error)),
         }
     }
 }
 
-impl RaftNetworkFactory<RaftTypes> for Links {
+impl RaftNetworkFactory<RaftTypes> for PeerNetwork {
     type Network = VoterConnection;
 
     async fn new_client(&mut self, target: StoreId, node: &VoterAddress) -> VoterConnection {
         let to = self.route(&node.head, &node.address);
-        VoterConnection { links: self.clone(), target, to, stream: None, incarnation: Incarnation::default() }
+        VoterConnection {
+            network: self.clone(),
+            target,
+            to,
+            stream: None,
+            incarnation: Incarnation::default(),
+        }
     }
 }
 
-/// Answers a Raft request.
+/// Passes a Raft request of another head to the consensus library and returns the response.
 ///
 /// # Errors
-/// The request, if it is not one of Raft.
-pub async fn answer_raft(raft: &Raft, request: PeerRequest) -> Result<PeerResponse, PeerRequest> {
-    let refused = |error: &dyn std::error::Error| PeerResponse::Rejected(error.to_string());
+/// Returns the request if it is not a Raft request.
+pub async fn respond_to_raft(raft: &Raft, request: PeerRequest) -> Result<PeerResponse, PeerRequest> {
+    let rejected = |error: &dyn std::error::Error| PeerResponse::Rejected(error.to_string());
     Ok(match request {
         PeerRequest::Append(rpc) => {
-            raft.append_entries(rpc).await.map_or_else(|error| refused(&error), PeerResponse::Append)
+            raft.append_entries(rpc).await.map_or_else(|error| rejected(&error), PeerResponse::Append)
         }
         PeerRequest::Vote(rpc) => {
-            raft.vote(rpc).await.map_or_else(|error| refused(&error), PeerResponse::Vote)
+            raft.vote(rpc).await.map_or_else(|error| rejected(&error), PeerResponse::Vote)
         }
         PeerRequest::Snapshot(rpc) => match raft.install_snapshot(rpc).await {
             Ok(response) => PeerResponse::Snapshot(response),
             Err(RaftError::APIError(InstallSnapshotError::SnapshotMismatch(mismatch))) => {
                 PeerResponse::Mismatch(mismatch)
             }
-            Err(error) => refused(&error),
+            Err(error) => rejected(&error),
         },
         other => return Err(other),
     })
--- a/crates/cluster/tests/error_texts.rs
+++ b/crates/cluster/tests/error_texts.rs
@@ -1,4 +1,5 @@
-//! The texts of errors that operators, logs and other heads see, and that their sources are kept.
+//! Checks the texts of errors that appear in logs, on the command line and at other heads, and that errors
+//! keep their sources.
 
 use sedgerun_cluster::client::{ClientError, HeadError};
 use sedgerun_cluster::disk::{self, OpenError, StoreError, WriteError};
@@ -21,7 +22,7 @@
     io::Error::other("it is broken")
 }
 
-/// A folder of one test, removed with it.
+/// A temporary folder, removed when it is dropped.
 struct Folder(PathBuf);
 
 impl Folder {
@@ -60,15 +61,18 @@
 }
 
 #[test]
-fn errors_of_a_store_name_its_file_and_record() {
+fn errors_of_a_store_name_the_file_and_the_record() {
     let corrupt = || CorruptRecord::Checksum;
     let faults = [
         (StoreError::CorruptRecord { key: "vote", source: corrupt() }, "record vote: checksum differs"),
         (StoreError::CorruptEntry { index: 7, source: corrupt() }, "log entry 7: checksum differs"),
-        (StoreError::MissingIdentity, "record identity: missing, though there is a log"),
-        (StoreError::MissingSnapshotState, "record snapshot state: missing"),
+        (StoreError::MissingIdentity, "record identity is missing although there are log entries"),
+        (
+            StoreError::MissingSnapshotState,
+            "record snapshot state is missing although there is snapshot metadata",
+        ),
         (StoreError::SyncFolder(failure()), "it is broken"),
-        (StoreError::Thread(failure()), "no thread: it is broken"),
+        (StoreError::Thread(failure()), "cannot start the writer's thread: it is broken"),
         (StoreError::Database(redb::Error::Io(failure())), "I/O error: it is broken"),
     ];
     for (source, text) in faults {
@@ -87,7 +91,7 @@
 }
 
 #[test]
-fn a_file_that_is_no_store_is_named() {
+fn the_error_for_a_file_that_is_not_a_store_names_the_file() {
     let folder = Folder::new("no-store");
     let file = folder.path().join("fleet.redb");
     std::fs::write(&file, "not a database, and long enough to be read as one".repeat(100)).expect("a file");
@@ -97,44 +101,53 @@
 }
 
 #[test]
-fn an_address_in_use_is_named_with_its_setting() {
+fn the_error_for_an_address_in_use_names_the_address_and_its_setting() {
     let (folder, used) =
         (Folder::new("address"), TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a port"));
     let listen = used.local_addr().expect("an address");
     let error = ClusterHandle::start(&settings(folder.path(), listen), "n0").err().expect("in use");
     assert!(error.to_string().starts_with(&format!("fleet.listen: cannot bind {listen}: ")), "{error}");
     assert!(matches!(error, ClusterStartError::Bind { .. }));
-    assert_eq!(ClusterStartError::Thread(failure()).to_string(), "fleet: no thread: it is broken");
-    assert_eq!(ClusterStartError::Runtime(failure()).to_string(), "fleet: no runtime: it is broken");
-    assert_eq!(ClusterStartError::EndedAtStart.to_string(), "fleet: ended at its start");
+    assert_eq!(
+        ClusterStartError::Thread(failure()).to_string(),
+        "fleet: cannot start the cluster thread: it is broken"
+    );
+    assert_eq!(
+        ClusterStartError::Runtime(failure()).to_string(),
+        "fleet: cannot create the runtime of the cluster thread: it is broken"
+    );
+    assert_eq!(
+        ClusterStartError::EndedAtStart.to_string(),
+        "fleet: the cluster thread ended during its start"
+    );
 }
 
 #[test]
-fn an_empty_store_is_not_recovered_and_is_named() {
+fn an_empty_store_is_not_recovered_and_the_error_names_its_folder() {
     let folder = Folder::new("empty");
     let error = force_recovery(&settings(folder.path(), ADDRESS), "n0", None).expect_err("an empty store");
-    assert_eq!(error.to_string(), format!("{}: this store holds nothing", folder.path().display()));
+    assert_eq!(error.to_string(), format!("{}: the store is empty", folder.path().display()));
     let error = ForceRecoveryError::NotAccepted { consequences: "Much may be lost.".into(), version: 9 };
-    let text = "Much may be lost. To go on: sedgerun fleet recover --lose-changes-after 9";
+    let text = "Much may be lost. To recover: sedgerun fleet recover --lose-changes-after 9";
     assert_eq!(error.to_string(), text);
 }
 
 #[test]
-fn a_cluster_that_cannot_begin_names_the_voter() {
+fn errors_of_beginning_a_cluster_name_the_voter() {
     let name = || "n1".to_owned();
     let errors = [
-        (BeginError::NotAVoter(name()), "n1 is not among the keepers of its own settings"),
+        (BeginError::NotAVoter(name()), "n1 is not listed in fleet.voters of its own settings"),
         (
             BeginError::Unreachable { name: name(), address: ADDRESS, source: failure() },
-            "keeper n1 at 127.0.0.1:7: it is broken",
+            "voter n1 at 127.0.0.1:7: it is broken",
         ),
         (
             BeginError::WrongHead { address: ADDRESS, found: "n2".into(), name: name() },
-            "at 127.0.0.1:7 answers n2, not n1",
+            "the head at 127.0.0.1:7 is n2, not n1",
         ),
-        (BeginError::NoStore(name()), "keeper n1 has no store"),
-        (BeginError::InUse(name()), "keeper n1 holds the state of a fleet already"),
-        (BeginError::Adopt(AdoptError::OtherOrigin), "of another origin"),
+        (BeginError::NoStore(name()), "voter n1 has no store"),
+        (BeginError::InUse(name()), "voter n1 already belongs to another fleet"),
+        (BeginError::Adopt(AdoptError::OtherOrigin), "the heads do not belong to the same fleet"),
         (BeginError::Adopt(AdoptError::Write(WriteError::WriterEnded)), "the writer of the store has ended"),
     ];
     for (error, text) in errors {
@@ -147,10 +160,13 @@
 fn errors_of_the_command_line_name_the_head_or_the_file() {
     let (head, file) = (|| "n1".to_owned(), || PathBuf::from("/backup"));
     let errors = [
-        (ClientError::Runtime(failure()), "no runtime: it is broken"),
+        (ClientError::Runtime(failure()), "cannot create the runtime for connections: it is broken"),
         (ClientError::ChangeRejected("no tenant x".into()), "no tenant x"),
-        (ClientError::UnexpectedOutcome(ChangeOutcome::Stale(3)), "Stale(3)"),
-        (ClientError::NoLeader, "no leader answers"),
+        (
+            ClientError::UnexpectedOutcome(ChangeOutcome::Stale(3)),
+            "unexpected outcome of the change: Stale(3)",
+        ),
+        (ClientError::NoLeader, "no leader responded"),
         (ClientError::NotAVoter(head()), "n1 does not vote"),
         (ClientError::File { file: file(), source: failure() }, "/backup: it is broken"),
         (
@@ -159,14 +175,14 @@
         ),
         (
             ClientError::Head { head: head(), address: ADDRESS, source: HeadError::UnexpectedResponse },
-            "n1 at 127.0.0.1:7: an answer to something else",
+            "n1 at 127.0.0.1:7: unexpected type of response",
         ),
-        (ClientError::RequestRejected("of another origin".into()), "of another origin"),
+        (ClientError::RequestRejected("the store is empty".into()), "the store is empty"),
     ];
     for (error, text) in errors {
         assert_eq!(error.to_string(), text);
     }
-    assert_eq!(HeadError::NoAddress.to_string(), "no address");
+    assert_eq!(HeadError::NoAddress.to_string(), "its address is malformed");
     assert_eq!(HeadError::Connection(failure()).to_string(), "it is broken");
     assert_eq!(HeadError::Behind(UpstreamBehind).to_string(), "it has gone back");
 }
--- a/crates/cluster/tests/frozen_messages.rs
+++ b/crates/cluster/tests/frozen_messages.rs
@@ -1,9 +1,11 @@
-//! What heads say to each other and what a voter writes down, frozen byte for byte as whole records.
+//! Checks that the messages between heads and the records on a voter's disk keep their encoding, byte for
+//! byte.
 //!
-//! Heads of neighbouring versions share one fleet: each call and each reply keeps its number and its encoding, whatever
-//! its name in the code. Each value is sealed and compared with its line in `recorded/messages.txt`, and the line is
-//! read back. Frames and backups are made and read by the program's own client, against a stand-in for a voter. The
-//! file is never written by a test: where a format changes on purpose, the failure shows the new line.
+//! Heads of neighbouring versions run in one cluster, so each request and each response must keep its variant
+//! number and its encoding, whatever its name in the code. Each value is encoded and compared with its line
+//! in `recorded/messages.txt`, and the recorded line is decoded. Frames and backups are written and read by
+//! the crate's own client, which is connected to a stub voter. No test writes the file: after an intended
+//! change of a format, the failure message shows the new line.
 
 #[path = "../../replication/tests/recorded/mod.rs"]
 mod recorded;
@@ -43,7 +45,7 @@
 use std::time::Duration;
 
 const RECORDED: &str = include_str!("recorded/messages.txt");
-/// Sections of the file: what stands before the first dot of a line.
+/// Sections of the file. The name of a line's section ends at the line's first dot.
 const SECTIONS: [&str; 5] = ["call", "reply", "stored", "frame", "backup"];
 const STORE: u64 = 0x0123_4567_89ab_cdef;
 const OTHER_STORE: u64 = 0xfedc_ba98_7654_3210;
@@ -53,7 +55,8 @@
     Section::open(RECORDED, name)
 }
 
-/// A message is sealed as recorded, and what is recorded is read as one that is sealed alike.
+/// Checks that a message is encoded as recorded, and that the recorded bytes decode to a message that is
+/// encoded alike.
 fn check_message<T>(section: &mut Section, name: &str, record_type: RecordType, message: &T)
 where
     T: Serialize + DeserializeOwned,
@@ -65,7 +68,7 @@
     }
 }
 
-/// The same, and what is recorded is read as the value itself.
+/// Checks that a value is encoded as recorded, and that the recorded bytes decode to the same value.
 fn check_value<T>(section: &mut Section, name: &str, record_type: RecordType, value: &T)
 where
     T: Serialize + DeserializeOwned + PartialEq + Debug,
@@ -84,7 +87,7 @@
     VoterAddress { head: head.into(), address: "192.0.2.17:4410".into(), zone: Some("a".into()) }
 }
 
-/// Voters in the middle of a change, and one that is brought up to date.
+/// A membership in a joint configuration, with one learner.
 fn members() -> openraft::Membership<u64, VoterAddress> {
     let configs = vec![BTreeSet::from([STORE]), BTreeSet::from([STORE, OTHER_STORE])];
     let nodes = BTreeMap::from([(STORE, voter("n0")), (OTHER_STORE, voter("n1")), (77, voter("n2"))]);
@@ -234,8 +237,8 @@
     }
 }
 
-/// Calls of the consensus protocol.
-fn protocol_calls() -> Vec<(&'static str, PeerRequest)> {
+/// Raft requests.
+fn raft_requests() -> Vec<(&'static str, PeerRequest)> {
     let append = AppendEntriesRequest {
         vote: Vote::new_committed(17, STORE),
         prev_log_id: Some(position(16, 89_000)),
@@ -259,8 +262,8 @@
     ]
 }
 
-/// All other calls.
-fn calls() -> Vec<(&'static str, PeerRequest)> {
+/// All requests other than those of Raft.
+fn other_requests() -> Vec<(&'static str, PeerRequest)> {
     let request = LegacyPollRequest {
         follower: downstream(),
         subtree: Some(vec![downstream()]),
@@ -285,8 +288,8 @@
     ]
 }
 
-/// Replies to calls of the consensus protocol.
-fn protocol_replies() -> Vec<(&'static str, PeerResponse)> {
+/// Responses to Raft requests.
+fn raft_responses() -> Vec<(&'static str, PeerResponse)> {
     let vote = Vote::new_committed(17, STORE);
     let granted = VoteResponse { vote, vote_granted: true, last_log_id: Some(position(17, 90_000)) };
     let mismatch = SnapshotMismatch {
@@ -308,8 +311,8 @@
     ]
 }
 
-/// Replies about changes and about how a head stands.
-fn replies() -> Vec<(&'static str, PeerResponse)> {
+/// Responses to requests other than those of Raft and polls.
+fn other_responses() -> Vec<(&'static str, PeerResponse)> {
     vec![
         ("changed", PeerResponse::Changed(ChangeOutcome::Done { version: 70_000, fresh: true })),
         ("changed_missing", PeerResponse::Changed(ChangeOutcome::Missing("no tenant horvat".into()))),
@@ -333,8 +336,8 @@
     ]
 }
 
-/// Replies to the polls of followers.
-fn poll_replies() -> Vec<(&'static str, PeerResponse)> {
+/// Responses to polls of followers.
+fn poll_responses() -> Vec<(&'static str, PeerResponse)> {
     let (path, leader, voters) = (vec!["n0".to_owned()], Some(peer("n0")), voters());
     let legacy = UpdateReply::Chunk { chunk: chunk(), path, age: 1500, leader, voters };
     let full = UpdateReply::Full { redirect: vec![peer("n4")] };
@@ -349,25 +352,25 @@
 }
 
 #[test]
-fn every_call_between_heads_keeps_its_bytes() {
+fn every_request_between_heads_keeps_its_encoding() {
     let mut lines = section("call");
-    for (name, call) in protocol_calls().into_iter().chain(calls()) {
-        check_message(&mut lines, name, RecordType::Call, &call);
+    for (name, request) in raft_requests().into_iter().chain(other_requests()) {
+        check_message(&mut lines, name, RecordType::Call, &request);
     }
     lines.close();
 }
 
 #[test]
-fn every_reply_between_heads_keeps_its_bytes() {
+fn every_response_between_heads_keeps_its_encoding() {
     let mut lines = section("reply");
-    for (name, reply) in protocol_replies().into_iter().chain(replies()).chain(poll_replies()) {
-        check_message(&mut lines, name, RecordType::Reply, &reply);
+    for (name, response) in raft_responses().into_iter().chain(other_responses()).chain(poll_responses()) {
+        check_message(&mut lines, name, RecordType::Reply, &response);
     }
     lines.close();
 }
 
 #[test]
-fn every_record_that_a_voter_writes_keeps_its_bytes() {
+fn every_record_of_a_voter_keeps_its_encoding() {
     let mut lines = section("stored");
     let identity = Identity { store: STORE, incarnation: 300, origin: Some(OTHER_STORE) };
     check_value(&mut lines, "identity", RecordType::Identity, &identity);
@@ -383,7 +386,7 @@
     lines.close();
 }
 
-/// A frame: the length of a record, then the record.
+/// Encodes a frame: the length of a record, then the record.
 fn framed<T: Serialize>(record_type: RecordType, value: &T) -> Vec<u8> {
     let record = record::seal(record_type, value).expect("a record");
     let mut frame = (record.len() as u32).to_le_bytes().to_vec();
@@ -391,7 +394,7 @@
     frame
 }
 
-/// Reads one frame with its length.
+/// Reads one frame, including its length.
 fn read_frame(stream: &mut TcpStream) -> Vec<u8> {
     let mut frame = vec![0; 4];
     stream.read_exact(&mut frame).expect("a length");
@@ -401,24 +404,25 @@
     frame
 }
 
-/// A voter that takes one connection, answers its frames with these in turn, and returns what it has read.
-fn stand_in(answers: Vec<Vec<u8>>) -> (SocketAddr, JoinHandle<Vec<Vec<u8>>>) {
+/// Starts a stub voter that accepts one connection and responds to each frame with the next of `responses`.
+/// Returns its address, and a handle that returns the frames that it has received.
+fn start_stub_voter(responses: Vec<Vec<u8>>) -> (SocketAddr, JoinHandle<Vec<Vec<u8>>>) {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a listener");
     let address = listener.local_addr().expect("an address");
     let served = thread::spawn(move || {
         let (mut stream, _) = listener.accept().expect("a connection");
         stream.set_read_timeout(Some(Duration::from_secs(10))).expect("a timeout");
-        let answer = |answer: Vec<u8>| {
-            let read = read_frame(&mut stream);
-            stream.write_all(&answer).expect("an answer");
-            read
+        let respond = |response: Vec<u8>| {
+            let received = read_frame(&mut stream);
+            stream.write_all(&response).expect("a response");
+            received
         };
-        answers.into_iter().map(answer).collect()
+        responses.into_iter().map(respond).collect()
     });
     (address, served)
 }
 
-/// The settings of a head `n9` of a fleet of one voter.
+/// The settings of the head `n9` in a cluster with one voter.
 fn settings(voter: SocketAddr) -> Settings {
     Settings {
         name: "rig".into(),
@@ -440,24 +444,24 @@
 }
 
 #[test]
-fn the_client_frames_its_calls_reads_replies_and_writes_a_backup_as_recorded() {
-    let answers = [
+fn the_client_encodes_frames_and_a_backup_as_recorded() {
+    let responses = [
         ("greeting_answer", framed(RecordType::Greeting, &Ok::<Greeting, Refusal>(greeting()))),
         ("reply_latest", framed(RecordType::Reply, &PeerResponse::LinearizableVersion(302))),
         ("reply_chunk", framed(RecordType::Reply, &PeerResponse::Chunk(chunk()))),
     ];
     let mut lines = section("frame");
-    for (name, frame) in &answers {
+    for (name, frame) in &responses {
         lines.compare(name, frame);
     }
-    let (address, served) = stand_in(answers.map(|(_, frame)| frame).to_vec());
+    let (address, served) = start_stub_voter(responses.map(|(_, frame)| frame).to_vec());
     let file = file_of("written.backup");
     client::backup(&settings(address), "n9", &file).expect("a backup");
-    let read = served.join().expect("the stand-in");
-    for (name, frame) in ["greeting", "call_latest", "call_chunk"].iter().zip(&read) {
+    let received = served.join().expect("the stub voter");
+    for (name, frame) in ["greeting", "call_latest", "call_chunk"].iter().zip(&received) {
         lines.compare(name, frame);
     }
-    assert_eq!(read.len(), 3);
+    assert_eq!(received.len(), 3);
     lines.close();
     let mut lines = section("backup");
     lines.compare("file", &std::fs::read(&file).expect("a backup"));
@@ -466,19 +470,19 @@
 }
 
 #[test]
-fn a_recorded_backup_is_restored_whole() {
+fn a_recorded_backup_is_restored_completely() {
     let line = RECORDED.lines().find_map(|line| line.strip_prefix("backup.file ")).expect("a backup");
     let file = file_of("recorded.backup");
     std::fs::write(&file, unhex(line)).expect("a file");
-    let answers = vec![
+    let responses = vec![
         framed(RecordType::Greeting, &Ok::<Greeting, Refusal>(greeting())),
         framed(RecordType::Reply, &PeerResponse::Changed(ChangeOutcome::Done { version: 2, fresh: true })),
     ];
-    let (address, served) = stand_in(answers);
+    let (address, served) = start_stub_voter(responses);
     client::restore(&settings(address), "n9", &file).expect("a restored backup");
     std::fs::remove_file(&file).expect("a backup");
-    let read = served.join().expect("the stand-in");
-    match record::open(RecordType::Call, &read[1][4..]) {
+    let received = served.join().expect("the stub voter");
+    match record::open(RecordType::Call, &received[1][4..]) {
         Ok(PeerRequest::SubmitChange(Change {
             expect: None, command: Command::Restore(restored), ..
         })) => {
@@ -489,6 +493,6 @@
 }
 
 #[test]
-fn every_recorded_line_is_in_a_section_that_is_compared() {
+fn every_recorded_line_is_in_a_compared_section() {
     assert_sections(RECORDED, &SECTIONS);
 }
