--- a/crates/policy/src/controller.rs
+++ b/crates/policy/src/controller.rs
@@ -44,7 +44,7 @@
     /// call.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         self.start_once(now, actions);
-        self.discount_own_stall(now);
+        self.ignore_own_stall(now);
         match event {
             Event::EndpointList { scope: UpdateScope::Failed, .. } => self.on_poll_failure(now, actions),
             Event::EndpointList { scope, endpoints } => {
@@ -77,7 +77,7 @@
     /// A control period that ends far too late shows the stall; pauses of the machine and jumps of the clock
     /// are covered as well. A backend that did become unresponsive meanwhile is detected later by one latency
     /// objective.
-    fn discount_own_stall(&mut self, now: Micros) {
+    fn ignore_own_stall(&mut self, now: Micros) {
         if self.timers.head_has_stalled(now) {
             self.backends.restart_response_clocks(now);
         }
--- a/crates/policy/src/outcome.rs
+++ b/crates/policy/src/outcome.rs
@@ -33,7 +33,7 @@
     /// The backend may have restarted before the endpoint list says so. A backend that only had too many
     /// connections goes through a slow start without need.
     fn suspect_restart(&mut self, attempt: &Attempt, end: AttemptEnd, now: Micros) {
-        if !heads_could_overload_start(&self.settings) {
+        if !heads_could_overload_new_backend(&self.settings) {
             return;
         }
         // Drawn at the end of every attempt, used or not, so that later random numbers do not depend on how
@@ -119,7 +119,7 @@
 }
 
 /// Whether one request from each head is more than a backend that has just started has capacity for.
-fn heads_could_overload_start(settings: &Settings) -> bool {
+fn heads_could_overload_new_backend(settings: &Settings) -> bool {
     let limits = &settings.rules.slow_start;
     let one_per_head = f64::from(settings.heads) * settings.mean_units;
     one_per_head > START_OVERLOAD_MULTIPLE * limits.safe_units && limits.overload_window > 0
--- a/crates/policy/tests/common/cluster.rs
+++ b/crates/policy/tests/common/cluster.rs
@@ -199,8 +199,8 @@
     }
 
     fn attempt_end(&mut self) -> AttemptEnd {
-        let fails = self.random.happens(self.cluster.failure_percent);
-        match (fails, self.random.happens(50)) {
+        let fails = self.random.chance(self.cluster.failure_percent);
+        match (fails, self.random.chance(50)) {
             (true, true) => AttemptEnd::Error,
             (true, false) => AttemptEnd::Rejected,
             (false, _) => AttemptEnd::Ok,
--- a/crates/policy/tests/common/random.rs
+++ b/crates/policy/tests/common/random.rs
@@ -15,7 +15,7 @@
     }
 
     /// True with a probability of `percent`.
-    pub fn happens(&mut self, percent: u64) -> bool {
+    pub fn chance(&mut self, percent: u64) -> bool {
         self.below(100) < percent
     }
 }
--- a/crates/policy/tests/common/simulation.rs
+++ b/crates/policy/tests/common/simulation.rs
@@ -197,7 +197,7 @@
         let class = random.below(self.settings.classes.len() as u64) as usize;
         let volume = random.below(6);
         let timeout = self.settings.classes[class].timeout;
-        let time_left = if random.happens(10) { random.below(timeout) } else { timeout };
+        let time_left = if random.chance(10) { random.below(timeout) } else { timeout };
         Request {
             id: self.requests,
             class,
@@ -206,7 +206,7 @@
             deadline: self.now + time_left,
             volume,
             units: 1.0 + random.below(self.settings.max_units as u64) as f64,
-            shard: (!random.happens(40)).then(|| random.below(BACKENDS) as u32),
+            shard: (!random.chance(40)).then(|| random.below(BACKENDS) as u32),
             volume_heads: self.heads.len() as f64,
         }
     }
@@ -218,15 +218,15 @@
             self.schedule(self.now + SECOND, ScheduledEvent::Churn);
         }
         for backend in 0..self.backends.len() {
-            if self.random.happens(self.conditions.churn_percent) {
+            if self.random.chance(self.conditions.churn_percent) {
                 self.toggle_backend(backend);
             }
         }
         for head in 0..self.heads.len() {
-            if self.random.happens(self.conditions.churn_percent / 2) {
+            if self.random.chance(self.conditions.churn_percent / 2) {
                 self.restart_head(head);
                 self.send_list(head, UpdateScope::Cached);
-            } else if self.settings.permissions.must_poll && self.random.happens(10) {
+            } else if self.settings.permissions.must_poll && self.random.chance(10) {
                 let failed = Event::EndpointList { scope: UpdateScope::Failed, endpoints: Vec::new() };
                 self.inbox.push((head, failed));
             }
