--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -230,7 +230,7 @@
         self.attempts.insert((id, attempt), AttemptInFlight { backend, sent_at: now });
         if !may_send {
             // At most one attempt may be in flight, and none starts for a cancelled request. The controller
-            // has asked for this attempt, so it is told that the attempt ended unsent.
+            // has requested this attempt, so its end is reported as cancelled before it was sent.
             self.attempt_ended(
                 now,
                 id,
--- a/crates/dispatch/src/request.rs
+++ b/crates/dispatch/src/request.rs
@@ -22,7 +22,7 @@
     pub units: f64,
     /// The shard that holds the data; `None`: any shard.
     pub shard: Option<u32>,
-    /// The number of heads through which the volume's requests come.
+    /// The number of heads that receive requests for the volume.
     pub volume_heads: f64,
 }
 
@@ -45,7 +45,7 @@
     /// The volume's load at all heads, as a multiple of its plan's rate; `None` if the backend did not report
     /// it.
     pub volume_usage: Option<f64>,
-    /// Units that the backend has served this volume for requests that came through other heads.
+    /// Units that the backend has served this volume for requests through other heads.
     pub units_elsewhere: f64,
 }
 
