--- a/crates/cluster/src/change/mod.rs
+++ b/crates/cluster/src/change/mod.rs
@@ -31,7 +31,7 @@
 
 /// A change with its idempotency key: that of the caller, or a random one.
 ///
-/// `expect` is the version that the tenant must have ([`Change::expect`]).
+/// `expect` is the version that the tenant must have ([`Change::expected_version`]).
 ///
 /// # Errors
 /// There are no random numbers for a key.
