--- a/crates/sedgerun/tests/mixed_builds/cluster.rs
+++ b/crates/sedgerun/tests/mixed_builds/cluster.rs
@@ -2,11 +2,17 @@
 
 use crate::builds::Build;
 use crate::harness::{Harness, Said, call, export};
+use sedgerun_cluster::disk;
 use serde_json::Value;
+use std::path::Path;
 use std::process::Output;
 
 /// The tenant of all tests.
 pub const TENANT: &str = "horvat";
+/// The file of a store in its folder.
+const STORE_FILE: &str = "fleet.redb";
+/// More log entries than a build without fail points writes between two snapshots, which is 5000.
+const ENTRIES_FOR_A_SNAPSHOT: usize = 5200;
 const LATEST: &str = "Fleet-Read: latest\r\n";
 
 /// Lays out heads of these builds, of which the first vote; nothing is started.
@@ -82,6 +88,32 @@
     request(harness, head, &format!("DELETE /v1/bans/{backend}"), "", "");
 }
 
+/// Commits so many entries that a snapshot takes the place of the log's beginning; what the cluster holds stays.
+pub fn write_entries_for_a_snapshot(harness: &Harness, head: usize) {
+    for _ in 0..ENTRIES_FOR_A_SNAPSHOT / 2 {
+        ban(harness, head, "s-snapshot");
+        lift_ban(harness, head, "s-snapshot");
+    }
+}
+
+/// Copies the store of a head that does not run.
+pub fn copy_store(from: &Path, to: &Path) {
+    std::fs::create_dir_all(to).expect("a folder");
+    std::fs::copy(from.join(STORE_FILE), to.join(STORE_FILE)).expect("a copy of the store");
+}
+
+/// Asserts that the folder of a head that does not run has a snapshot in place of the log's beginning. A copy is read.
+pub fn assert_snapshot_in(harness: &Harness, head: usize) {
+    let copy = harness.dirs[head].with_extension("read");
+    copy_store(&harness.dirs[head], &copy);
+    let (database, opened) = disk::open_database(&copy).expect("a store");
+    drop(database);
+    let (snapshot, _) = opened.snapshot.as_ref().expect("a snapshot");
+    let covered = snapshot.last_log_id.map(|at| at.index);
+    let first = opened.log.keys().next().copied();
+    assert!(covered.is_some() && (first.is_none() || first > Some(1)), "{covered:?} {first:?}");
+}
+
 /// The names of the tenant's exports and the banned backends, each sorted.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Contents {
--- a/crates/sedgerun/tests/mixed_builds/restarts.rs
+++ b/crates/sedgerun/tests/mixed_builds/restarts.rs
@@ -2,15 +2,14 @@
 
 use crate::builds::{Build, Direction};
 use crate::cluster::{
-    Contents, assert_all_hold, assert_latest, ban, create_export, restart_from, start_from, started,
+    Contents, assert_all_hold, assert_latest, assert_snapshot_in, ban, create_export, restart_from,
+    start_from, started, stop, write_entries_for_a_snapshot,
 };
 use crate::harness::Harness;
 use serde_json::Value;
 
 const VOTERS: [usize; 3] = [0, 1, 2];
 const ALL: [usize; 5] = [0, 1, 2, 3, 4];
-/// Makes a build with fail points write a snapshot each ten entries; others ignore it.
-const FREQUENT_SNAPSHOTS: &str = "entries between snapshots=return(10)";
 
 in_both_directions!(
     a_cluster_is_restarted_head_by_head_and_back,
@@ -57,16 +56,13 @@
     }
 }
 
-/// The build with fail points sends a snapshot, the other its log.
+/// The log's beginning is purged: the new store is filled by a snapshot that voters of the other build send.
 fn a_voter_that_lost_its_folder_is_filled_by_the_other_build(direction: Direction) {
-    let mut harness = crate::cluster::laid_out(VOTERS.len(), &[direction.writer; VOTERS.len()]);
-    for variables in &mut harness.variables {
-        *variables = vec![("FAILPOINTS".to_owned(), FREQUENT_SNAPSHOTS.to_owned())];
-    }
-    harness.begin();
-    let names: Vec<String> = (0..35).map(|i| format!("e{i:02}")).collect();
+    let mut harness = started(VOTERS.len(), &[direction.writer; VOTERS.len()]);
+    let names: Vec<String> = (0..10).map(|i| format!("e{i:02}")).collect();
     names.iter().for_each(|name| drop(create_export(&harness, 0, name)));
     ban(&harness, 0, "s-7");
+    write_entries_for_a_snapshot(&harness, 0);
     let expected = Contents::of(&names, &["s-7"]);
     let leader = harness.leader(&VOTERS);
     let (lost, other) = ((leader + 1) % 3, (leader + 2) % 3);
@@ -81,4 +77,14 @@
     create_export(&harness, lost, "afterwards");
     let exports = [&names[..], &["afterwards".to_owned()]].concat();
     assert_all_hold(&harness, &[leader, lost], &Contents::of(&exports, &["s-7"]));
+    stop(&mut harness, lost);
+    assert_snapshot_in(&harness, lost);
+    // The snapshot that the writer left in its own folder is read, too.
+    start_from(&mut harness, lost, direction.reader);
+    stop(&mut harness, leader);
+    assert_snapshot_in(&harness, leader);
+    start_from(&mut harness, leader, direction.reader);
+    harness.leader(&[leader, lost]);
+    assert_all_hold(&harness, &[leader, lost], &Contents::of(&exports, &["s-7"]));
+    assert_latest(&harness, leader, &Contents::of(&exports, &["s-7"]));
 }
--- a/crates/sedgerun/tests/mixed_builds/store.rs
+++ b/crates/sedgerun/tests/mixed_builds/store.rs
@@ -1,25 +1,23 @@
 //! A store's folder that one build wrote is opened by the other.
 
-use crate::builds::Direction;
+use crate::builds::{Build, Direction};
 use crate::cluster::{
-    Contents, assert_all_hold, assert_latest, ban, create_export, laid_out, own_contents, restart_from,
-    start_from, started, stop, tenant_document,
+    Contents, assert_all_hold, assert_latest, assert_snapshot_in, ban, copy_store, create_export, laid_out,
+    own_contents, restart_from, start_from, started, stop, tenant_document,
 };
 use crate::harness::{Harness, call, put, row};
 use serde_json::Value;
-use std::path::Path;
 use std::thread;
 use std::time::Duration;
 
-const STORE_FILE: &str = "fleet.redb";
 const EXPORTS: [&str; 4] = ["press", "proofs", "maps", "archive"];
-const BANS: [&str; 2] = ["s-7", "s-8"];
 /// Makes a build with fail points write a snapshot each ten entries; others ignore it.
 const FREQUENT_SNAPSHOTS: &str = "entries between snapshots=return(10)";
+/// More entries than between two of these snapshots.
+const ENTRIES_OF_A_ROUND: usize = 25;
+const BANS: [&str; 2] = ["s-7", "s-8"];
 /// Longer than a head takes to save what it received as a follower (1 s) and its watermarks of other stores (200 ms).
 const SAVE_TIME: Duration = Duration::from_secs(3);
-/// More entries than between two of these snapshots.
-const MANY_EXPORTS: usize = 35;
 
 in_both_directions!(
     a_voter_goes_on_from_its_folder,
@@ -95,24 +93,31 @@
     assert_goes_on(&harness, &before, &mut expected, "by-the-writer-again");
 }
 
-/// The build with fail points writes snapshots; one without them reads them, or writes its log behind them.
+/// The build under test has fail points, writes a snapshot each ten entries, and takes turns with the other on the folder.
 fn a_voter_goes_on_from_a_folder_with_a_snapshot(direction: Direction) {
     let mut harness = laid_out(1, &[direction.writer]);
     harness.variables[0] = vec![("FAILPOINTS".to_owned(), FREQUENT_SNAPSHOTS.to_owned())];
     harness.begin();
     let mut expected = write_contents(&harness, 0);
-    for i in 0..MANY_EXPORTS {
-        let name = format!("many{i:02}");
-        create_export(&harness, 0, &name);
-        expected.exports.push(name);
+    let builds = [direction.writer, direction.reader, direction.writer, direction.reader];
+    for (round, build) in builds.into_iter().enumerate() {
+        if round > 0 {
+            let before = progress(&harness, 0);
+            stop(&mut harness, 0);
+            if builds[round - 1] == Build::Current {
+                assert_snapshot_in(&harness, 0);
+            }
+            start_from(&mut harness, 0, build);
+            assert_goes_on(&harness, &before, &mut expected, &format!("first-of-round{round}"));
+        }
+        for i in 0..ENTRIES_OF_A_ROUND {
+            let name = format!("round{round}-{i:02}");
+            create_export(&harness, 0, &name);
+            expected.exports.push(name);
+        }
+        expected.exports.sort();
     }
-    expected.exports.sort();
-    let before = progress(&harness, 0);
-    restart_from(&mut harness, 0, direction.reader);
-    assert_goes_on(&harness, &before, &mut expected, "by-the-reader");
-    let before = progress(&harness, 0);
-    restart_from(&mut harness, 0, direction.writer);
-    assert_goes_on(&harness, &before, &mut expected, "by-the-writer-again");
+    assert_latest(&harness, 0, &expected);
 }
 
 /// What a follower received is in its folder, and is served while no voter can be reached.
@@ -172,8 +177,3 @@
     let names = ["before", "after0", "after1", "after2", "after3", "after4", "after-the-watermarks"];
     assert_latest(&harness, other, &Contents::of(&names, &[""; 0]));
 }
-
-fn copy_store(from: &Path, to: &Path) {
-    std::fs::create_dir_all(to).expect("a folder");
-    std::fs::copy(from.join(STORE_FILE), to.join(STORE_FILE)).expect("a copy of the store");
-}
