--- a/crates/sedgerun/src/frontend/http/accept.rs
+++ b/crates/sedgerun/src/frontend/http/accept.rs
@@ -16,16 +16,16 @@
 use std::time::{Duration, Instant};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Time after which an idle client connection is closed. Clients reuse theirs, and a close that crosses a
-/// request costs it a new connection; but some clients keep theirs for good and never use it again.
+/// Time after which an idle client connection is closed. Clients reuse connections, and a close that races with a
+/// request costs the client a new connection; but some clients keep connections open without using them again.
 const KEEP_ALIVE_TIME: Duration = Duration::from_secs(30);
-/// Pause after a connection that could not be accepted.
+/// Delay before the next accept after a failed one.
 const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(5);
 
-/// Binds a listener on an address and no other.
+/// Binds a listener to `address`.
 ///
 /// # Errors
-/// Those of the system, such as an address that is in use.
+/// Errors of the operating system, such as an address that is in use.
 pub async fn bind(address: SocketAddr) -> io::Result<TcpListener> {
     TcpListener::bind(address).await
 }
@@ -34,7 +34,7 @@
     /// Accepts connections for as long as the future is polled.
     ///
     /// # Errors
-    /// Only where the HTTP service cannot be built; a failed accept is tried again.
+    /// The HTTP service cannot be built. A failed accept is retried.
     pub async fn serve(self: Rc<Self>, listener: TcpListener) -> io::Result<()> {
         let frontend = Rc::clone(&self);
         let service = fn_service(move |request: Request| {
@@ -44,7 +44,7 @@
         let factory = HttpService::<ClientStream, _, _>::build()
             .keep_alive(KeepAlive::Timeout(KEEP_ALIVE_TIME))
             .client_request_timeout(REQUEST_TIMEOUT)
-            // Guards against waiting for clients that have disconnected: a half-closed connection is a closed one.
+            // Treats a half-closed connection as closed, so that no request is served for a disconnected client.
             .h1_allow_half_closed(false)
             .on_connect_ext(|stream: &ClientStream, data| {
                 data.insert(stream.connection());
@@ -53,7 +53,7 @@
         let handler = factory.new_service(()).await.map_err(|()| io::Error::other("no HTTP service"))?;
         let handler = Rc::new(handler);
         loop {
-            // Neither a lack of descriptors nor a client that has disconnected again ends the program.
+            // Accept fails where descriptors are exhausted or the client has disconnected already: both are temporary.
             let Ok((stream, peer)) = listener.accept().await else {
                 tokio::time::sleep(ACCEPT_RETRY_PAUSE).await;
                 continue;
@@ -64,10 +64,10 @@
         }
     }
 
-    /// Whether one more client can be served, if need be in the place of one that gives way.
+    /// Whether one more client can be served, after evicting an idle connection if necessary.
     ///
-    /// Guards against clients that connect without end, and against connections that stay: clients with a request
-    /// need some, and backends and discovery keep their descriptors.
+    /// The limits keep descriptors free for backends and discovery. Eviction lets clients with a request connect
+    /// while other clients open connections without end or keep idle ones open.
     async fn has_capacity_for_client(&self) -> bool {
         let (limits, count) = (&self.config.resource_limits, self.connections.count());
         let descriptors_short =
@@ -75,7 +75,7 @@
         if !descriptors_short && count < limits.idle_client_threshold {
             return true;
         }
-        self.connections.give_way().await || (!descriptors_short && count < limits.max_clients)
+        self.connections.evict_longest_idle().await || (!descriptors_short && count < limits.max_clients)
     }
 
     /// Serves a client in a task of its own, which ends with the connection.
@@ -92,10 +92,10 @@
         let served = Rc::clone(&connection);
         let task = actix_rt::spawn(async move {
             let _open_connection = open_connection;
-            // A connection that ends in an error has sent its client all that there is to send.
+            // The result is ignored: where a connection ends in an error, nothing is left to send to its client.
             let mut serving = pin!(handler.call((stream, Some(peer))));
-            // Guards against an attempt that is sent between the end of its client and that of its request:
-            // actix-http notices each in a poll of its own.
+            // Ends the task in the same poll that detects the disconnect. actix-http would drop the request only in
+            // a later poll, and an attempt for the disconnected client could be sent in between.
             let until_disconnected = poll_fn(|cx| match serving.as_mut().poll(cx) {
                 Poll::Pending if !served.client_disconnected() => Poll::Pending,
                 _ => Poll::Ready(()),
--- a/crates/sedgerun/src/frontend/http/body.rs
+++ b/crates/sedgerun/src/frontend/http/body.rs
@@ -1,4 +1,4 @@
-//! Reads a request's body whole, within a memory budget and a deadline.
+//! Reads a complete request body within a memory budget and a deadline.
 
 use super::REQUEST_TIMEOUT;
 use super::error::RequestError;
@@ -9,31 +9,32 @@
 use futures_util::StreamExt;
 use std::time::{Duration, Instant};
 
-/// The slowest that a client sends a body, in bytes a second: a body has its length's worth of time at this
-/// rate beyond the time for a complete request.
+/// The lowest accepted rate of a body, in bytes per second: the time that a body takes at this rate is added to
+/// `REQUEST_TIMEOUT`.
 const SLOWEST_BODY_RATE: f64 = 64_000.0;
-/// A body of which no part has come for so long has stalled.
+/// A body of which no part has arrived for this long has stalled.
 const BODY_STALL_TIME: Duration = Duration::from_secs(2);
-/// When a client may retry whose body there is no memory for, in seconds.
-const NO_MEMORY_RETRY_SECONDS: f64 = 1.0;
+/// `Retry-After` in seconds for a request whose body exceeds the memory available at present.
+const MEMORY_EXHAUSTED_RETRY_SECONDS: f64 = 1.0;
 
 /// A complete body.
 pub(super) struct RequestBody {
     pub(super) bytes: Bytes,
-    /// What a body over 64 KiB takes of the memory budget.
+    /// The memory reserved for a body over 64 KiB; `None` for a smaller one.
     pub(super) reservation: Option<MemoryReservation>,
 }
 
-/// The largest body that can ever be read, in bytes.
-pub(super) fn most_body(budget: &MemoryBudget) -> usize {
+/// The largest body that is accepted, in bytes.
+pub(super) fn max_body_bytes(budget: &MemoryBudget) -> usize {
     budget.max_body_bytes().max(MOST_BODY)
 }
 
-/// Reads a request's body whole: a body over 64 KiB takes memory of the budget, or is rejected while there is none.
-/// The body has its time at the slowest rate that clients send, and no part may be later than 2 s.
+/// Reads a complete request body. A body over 64 KiB reserves memory from `budget`, and is rejected if too little is
+/// available. The whole body has a deadline at `SLOWEST_BODY_RATE`, and each part must arrive within
+/// `BODY_STALL_TIME`.
 ///
 /// # Errors
-/// The body is malformed, too large or overdue, or there is no memory for it now.
+/// The body is malformed, too large or overdue, or the memory budget is exhausted.
 pub(super) async fn read_body(
     request: &mut Request,
     content_length: Option<u64>,
@@ -42,7 +43,7 @@
 ) -> Result<RequestBody, RequestError> {
     let expected = content_length.map_or(0, |length| length as usize);
     let mut buffer = BodyBuffer::new(budget, expected)?;
-    let time_limit = time_limit(expected, most_body(budget));
+    let time_limit = time_limit(expected, max_body_bytes(budget));
     let deadline = tokio::time::Instant::from(request_started_at + time_limit);
     let mut payload = request.take_payload();
     while let Some(chunk) = next_chunk(&mut payload, deadline).await? {
@@ -51,9 +52,9 @@
     Ok(buffer.finish())
 }
 
-/// How long a body may take from its request's first byte, by the length that it is expected to have.
-fn time_limit(expected: usize, most: usize) -> Duration {
-    let bytes = most.min(expected.max(MOST_BODY));
+/// Time limit for a body of the expected length, from the first byte of its request.
+fn time_limit(expected: usize, max: usize) -> Duration {
+    let bytes = max.min(expected.max(MOST_BODY));
     REQUEST_TIMEOUT + Duration::from_secs_f64(bytes as f64 / SLOWEST_BODY_RATE)
 }
 
@@ -71,7 +72,7 @@
     }
 }
 
-/// What has come of a body, and the memory that it takes.
+/// The received part of a body, and the memory reserved for it.
 struct BodyBuffer<'a> {
     budget: &'a MemoryBudget,
     bytes: BytesMut,
@@ -79,24 +80,27 @@
 }
 
 impl BodyBuffer<'_> {
-    /// A buffer with memory for the length that a body is expected to have.
+    /// Creates a buffer and reserves memory for a body of the expected length.
     fn new(budget: &MemoryBudget, expected: usize) -> Result<BodyBuffer<'_>, RequestError> {
         let reservation = if expected > MOST_BODY { Some(reserve(budget, expected)?) } else { None };
         let bytes = BytesMut::with_capacity(expected.min(MOST_BODY));
         Ok(BodyBuffer { budget, bytes, reservation })
     }
 
-    /// Adds a part. A body without a length, or longer than it said, takes its memory as it comes.
+    /// Appends a part. For a body without a `Content-Length`, or longer than it states, the reservation grows with
+    /// each part.
     fn append(&mut self, chunk: &[u8]) -> Result<(), RequestError> {
         let size = self.bytes.len() + chunk.len();
         let reserved = self.reservation.as_ref().map_or(MOST_BODY, MemoryReservation::bytes);
         if size > reserved {
-            let most = most_body(self.budget);
-            if size > most {
-                return Err(RequestError::BodyTooLarge { most });
+            let max = max_body_bytes(self.budget);
+            if size > max {
+                return Err(RequestError::BodyTooLarge { max });
             }
             match &mut self.reservation {
-                Some(reservation) => reservation.grow((size - reserved) as u64).map_err(|_| no_memory())?,
+                Some(reservation) => {
+                    reservation.grow((size - reserved) as u64).map_err(|_| memory_exhausted())?;
+                }
                 None => self.reservation = Some(reserve(self.budget, size)?),
             }
         }
@@ -110,9 +114,9 @@
 }
 
 fn reserve(budget: &MemoryBudget, bytes: usize) -> Result<MemoryReservation, RequestError> {
-    budget.reserve(bytes).ok_or_else(no_memory)
+    budget.reserve(bytes).ok_or_else(memory_exhausted)
 }
 
-fn no_memory() -> RequestError {
-    RequestError::Rejected { retry_after_seconds: NO_MEMORY_RETRY_SECONDS }
+fn memory_exhausted() -> RequestError {
+    RequestError::Rejected { retry_after_seconds: MEMORY_EXHAUSTED_RETRY_SECONDS }
 }
--- a/crates/sedgerun/src/frontend/http/connections.rs
+++ b/crates/sedgerun/src/frontend/http/connections.rs
@@ -1,5 +1,5 @@
-//! The open client connections of the HTTP front end, and which of them gives way to a new one. `idle` adds closing those
-//! that are idle or stalled.
+//! The open client connections of the HTTP front end, and evicting one in favour of a new client. `idle` adds closing
+//! idle and stalled connections.
 
 use super::HttpFrontend;
 use super::connection::ConnectionState;
@@ -15,7 +15,7 @@
     pub(super) task: AbortHandle,
 }
 
-/// The open client connections. A connection is in here from its accept to the end of its task.
+/// The open client connections. A connection is listed from its accept until its task ends or it is evicted.
 #[derive(Debug, Default)]
 pub struct Connections {
     pub(super) open: RefCell<BTreeMap<u64, ServedConnection>>,
@@ -23,12 +23,12 @@
 }
 
 impl Connections {
-    /// How many are open.
+    /// The number of open connections.
     pub fn count(&self) -> usize {
         self.open.borrow().len()
     }
 
-    /// The number of a new connection.
+    /// Allocates the number that identifies a new connection.
     pub(super) fn next_number(&self) -> u64 {
         self.next_number.replace(self.next_number.get() + 1)
     }
@@ -38,23 +38,23 @@
         self.open.borrow_mut().insert(number, ServedConnection { state, task });
     }
 
-    /// Makes place for one more: closes the connection that has sent nothing for the longest, or else the one that has
-    /// been idle for the longest. Whether one was closed, once its descriptor is free.
-    pub(super) async fn give_way(&self) -> bool {
+    /// Closes one idle connection to make room for a new one: preferably one that has never sent a byte, and among
+    /// equals the longest idle. Returns whether one was closed, after its descriptor has been released.
+    pub(super) async fn evict_longest_idle(&self) -> bool {
         let Some(task) = self.remove_longest_idle() else { return false };
         task.abort();
-        // Guards against a burst: an aborted task drops its socket only when it is next polled, and until then
-        // each new client would take a descriptor more than there are to give.
+        // An aborted task drops its socket only when it is next polled. Without this wait, a burst of new clients
+        // would exceed the descriptor limit.
         while !task.is_finished() {
             tokio::task::yield_now().await;
         }
         true
     }
 
-    /// Removes the connection that is to give way from the open ones: its task.
+    /// Removes the connection to evict from the open ones and returns its task.
     fn remove_longest_idle(&self) -> Option<AbortHandle> {
         let mut open = self.open.borrow_mut();
-        let candidates = open.iter().filter(|(_, served)| served.state.may_give_way());
+        let candidates = open.iter().filter(|(_, served)| served.state.is_evictable());
         let longest_idle = candidates
             .min_by_key(|(_, served)| (served.state.has_received(), served.state.last_activity_at()));
         let number = longest_idle.map(|(number, _)| *number)?;
@@ -62,14 +62,14 @@
     }
 }
 
-/// A connection's place among the open ones, for as long as its task lives.
+/// Removes a connection from the open ones when its task ends.
 pub(super) struct OpenConnection {
     frontend: Rc<HttpFrontend>,
     number: u64,
 }
 
 impl OpenConnection {
-    /// The place of the connection with this number.
+    /// A guard for the connection with this number.
     pub(super) fn new(frontend: Rc<HttpFrontend>, number: u64) -> OpenConnection {
         OpenConnection { frontend, number }
     }
--- a/crates/sedgerun/src/frontend/http/error.rs
+++ b/crates/sedgerun/src/frontend/http/error.rs
@@ -1,4 +1,4 @@
-//! Why a request gets no answer of a backend, and the response that says so. The texts are read by clients.
+//! Errors of a request that is not served, and their responses. The texts are sent to clients.
 
 use super::response::{rejected, text_line};
 use actix_http::body::BoxBody;
@@ -6,17 +6,17 @@
 use std::fmt;
 use thiserror::Error;
 
-/// The most characters of what a client sent that an error repeats.
-const MOST_EXCERPT_CHARACTERS: usize = 64;
+/// The most characters of a client's input that an error quotes.
+const MAX_EXCERPT_CHARACTERS: usize = 64;
 
-/// What a client sent, quoted and cut short for an error.
+/// A client's input, quoted and truncated for an error.
 #[derive(Debug)]
 pub(super) struct Excerpt(String);
 
 impl Excerpt {
     /// An excerpt of a text.
     pub(super) fn of(text: &str) -> Excerpt {
-        Excerpt(text.chars().take(MOST_EXCERPT_CHARACTERS).collect())
+        Excerpt(text.chars().take(MAX_EXCERPT_CHARACTERS).collect())
     }
 }
 
@@ -26,61 +26,61 @@
     }
 }
 
-/// Why a request is not answered with what a backend said.
+/// Why a request is not served.
 #[derive(Debug, Error)]
 pub(super) enum RequestError {
-    /// A header that each request has is not there.
+    /// A required header is missing.
     #[error("{0} is missing")]
     MissingHeader(&'static str),
-    /// A header that a request has once is there again.
+    /// A header that may occur only once is repeated.
     #[error("{0} is repeated")]
     RepeatedHeader(&'static str),
     /// A header's value is not text.
     #[error("malformed {0}")]
     NonTextHeader(&'static str),
-    /// A header's value has another form than it should, or is out of its bounds.
+    /// A header's value is malformed or out of range.
     #[error("malformed {name} {value}")]
     MalformedHeader { name: &'static str, value: Excerpt },
-    /// The path names no class.
+    /// The path does not name a configured class.
     #[error("unknown class {0}")]
     UnknownClass(Excerpt),
-    /// `X-Qos-Policy` names no plan.
+    /// `X-Qos-Policy` does not name a configured plan.
     #[error("unknown plan {0}")]
     UnknownPlan(Excerpt),
-    /// The class has no such method.
+    /// The class does not allow the method.
     #[error("no {method} {class}")]
     MethodNotAllowed { method: Excerpt, class: String },
-    /// The target is not a path, or the request asks for another protocol.
+    /// The target is not a path, or the request upgrades to another protocol.
     #[error("malformed target")]
     MalformedTarget,
-    /// The body is larger than any can be, in bytes.
-    #[error("body over {most} bytes")]
-    BodyTooLarge { most: usize },
-    /// The body cannot be read.
+    /// The body is larger than `max` bytes.
+    #[error("body over {max} bytes")]
+    BodyTooLarge { max: usize },
+    /// The body's framing is malformed, or the connection failed while the body was read.
     #[error("malformed body")]
     MalformedBody,
-    /// The body, or a part of it, has not come in time.
+    /// The body, or the next part of it, has not arrived in time.
     #[error("the body is late")]
     BodyOverdue,
     /// A GET has a body.
     #[error("a read has no body")]
     ReadWithBody,
-    /// A request was sent before the answer to the last one.
+    /// A request was sent before the response to the previous one (pipelined).
     #[error("one request at a time on a connection")]
-    SentAhead,
-    /// The id is that of another request that is open, or was a moment ago.
+    Pipelined,
+    /// The id belongs to another request that is open or has ended recently.
     #[error("Request-Id is in use")]
     DuplicateRequestId,
-    /// The request is shed; the client may retry after so many seconds.
+    /// The request is shed; the client may retry after `retry_after_seconds`.
     #[error("refused")]
     Rejected { retry_after_seconds: f64 },
-    /// The attempts have failed; one may have run.
+    /// The attempts have failed; a backend may have executed one.
     #[error("failed")]
     Failed,
 }
 
 impl RequestError {
-    /// The status that the error is answered with.
+    /// The status of the error's response.
     fn status(&self) -> StatusCode {
         match self {
             RequestError::MissingHeader(_)
@@ -92,7 +92,7 @@
             | RequestError::MalformedTarget
             | RequestError::MalformedBody
             | RequestError::ReadWithBody
-            | RequestError::SentAhead => StatusCode::BAD_REQUEST,
+            | RequestError::Pipelined => StatusCode::BAD_REQUEST,
             RequestError::MethodNotAllowed { .. } => StatusCode::METHOD_NOT_ALLOWED,
             RequestError::BodyTooLarge { .. } => StatusCode::PAYLOAD_TOO_LARGE,
             RequestError::BodyOverdue => StatusCode::REQUEST_TIMEOUT,
@@ -102,7 +102,7 @@
         }
     }
 
-    /// The response that tells the client.
+    /// The response for the client.
     pub(super) fn response(&self) -> Response<BoxBody> {
         match self {
             RequestError::Rejected { retry_after_seconds } => rejected(*retry_after_seconds),
--- a/crates/sedgerun/src/frontend/http/handler.rs
+++ b/crates/sedgerun/src/frontend/http/handler.rs
@@ -1,7 +1,7 @@
-//! One request from its arrival to its response.
+//! Handles one request from its arrival to its response.
 
 use super::HttpFrontend;
-use super::body::{most_body, read_body};
+use super::body::{max_body_bytes, read_body};
 use super::connection::{ConnectionState, RequestInProgress};
 use super::error::RequestError;
 use super::request::{ParsedRequest, class_name};
@@ -15,39 +15,40 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// When a client may retry whose request the dispatcher takes none of now, in seconds.
+/// `Retry-After` in seconds for a request that the dispatch service does not accept at present.
 const NOT_SUBMITTED_RETRY_SECONDS: f64 = 0.1;
 
 impl HttpFrontend {
-    /// Answers a request of a connection.
+    /// Handles a request and returns its response.
     pub(super) async fn respond(&self, mut request: Request) -> Response<BoxBody> {
         let connection = request.conn_data::<Rc<ConnectionState>>().map(Rc::clone);
-        // actix-http goes on with what came behind a last answer: it gets nothing, and its connection is closed in
-        // a moment.
-        if connection.as_ref().is_some_and(|connection| connection.last_answer_at().is_some()) {
+        // actix-http still parses requests that it had read before the closing response. They get no response: the
+        // future stays pending until the sweep closes the connection.
+        if connection.as_ref().is_some_and(|connection| connection.responses_ended_at().is_some()) {
             std::future::pending::<()>().await;
         }
-        // Nothing has come since the last answer: this request was sent ahead of it.
-        let sent_ahead = connection.as_ref().is_some_and(|connection| !connection.received_since_answer());
+        // No byte has arrived since the last response, so this request was sent before that response (pipelined).
+        let is_pipelined =
+            connection.as_ref().is_some_and(|connection| !connection.received_since_response());
         let started_at = connection.as_ref().and_then(|connection| connection.request_started_at());
         let in_progress = RequestInProgress::begin(connection);
-        let mut response = if sent_ahead {
-            RequestError::SentAhead.response()
+        let mut response = if is_pipelined {
+            RequestError::Pipelined.response()
         } else {
             let started_at = started_at.unwrap_or_else(Instant::now);
-            self.answer(&mut request, started_at, in_progress.connection()).await
+            self.handle(&mut request, started_at, in_progress.connection()).await
         };
         self.count(&request, response.status());
-        // Guards against faulty clients that stay: they get their error, and their connection is closed.
+        // After a client error the connection is closed too, so that faulty clients do not hold connections.
         if self.is_closing.get() || self.is_drained.get() || response.status().is_client_error() {
             response.head_mut().set_connection_type(ConnectionType::Close);
-            in_progress.connection().inspect(|connection| connection.record_last_answer());
+            in_progress.connection().inspect(|connection| connection.record_closing_response());
         }
         response
     }
 
-    /// Counts a final answer under its class, where the path names one: whatever the reason, a 200 is served,
-    /// a 429 or 503 rejected, and anything else failed.
+    /// Counts a final response under its class, if the path names one. The status alone decides: 200 counts as
+    /// served, 429 and 503 as rejected, and any other as failed.
     fn count(&self, request: &Request, status: StatusCode) {
         let Some(class) = self.config.class(class_name(request.path())) else { return };
         let operation_status = match status.as_u16() {
@@ -58,8 +59,8 @@
         self.dispatch.metrics.count(class, operation_status);
     }
 
-    /// Answers a health check here, and any other request with what a backend says.
-    async fn answer(
+    /// Responds to a health check directly and forwards any other request to a backend.
+    async fn handle(
         &self,
         request: &mut Request,
         started_at: Instant,
@@ -74,7 +75,7 @@
         }
     }
 
-    /// Whether this head serves.
+    /// Responds to a health check: 503 if an operator has drained this head, 200 otherwise.
     fn health(&self) -> Response<BoxBody> {
         if self.is_drained.get() {
             return text_line(StatusCode::SERVICE_UNAVAILABLE, "drained");
@@ -82,30 +83,31 @@
         text_line(StatusCode::OK, "ok")
     }
 
-    /// Reads a request, submits it to the dispatcher and waits for the final answer: the body of a backend's 200.
+    /// Reads a request, submits it to the dispatcher and waits for the final response. Returns the body of a
+    /// backend's 200.
     async fn forward(
         &self,
         request: &mut Request,
         started_at: Instant,
         connection: Option<&ConnectionState>,
     ) -> Result<Bytes, RequestError> {
-        let parsed = ParsedRequest::read(request, &self.config, most_body(&self.body_budget))?;
+        let parsed = ParsedRequest::read(request, &self.config, max_body_bytes(&self.body_budget))?;
         let body = read_body(request, parsed.content_length, started_at, &self.body_budget).await?;
         if parsed.method == Method::GET && !body.bytes.is_empty() {
             return Err(RequestError::ReadWithBody);
         }
-        // The client's time runs from the last byte.
+        // The client's timeout starts at the last byte of its request.
         let deadline = self.dispatch.clock().now() + parsed.timeout;
-        let id_guard = self.ids.register(parsed.number).ok_or(RequestError::DuplicateRequestId)?;
+        let id_guard = self.ids.register(parsed.numeric_id).ok_or(RequestError::DuplicateRequestId)?;
         let (spec, backend_request) = parsed.into_backend_request(deadline, body, id_guard);
         let pending = self
             .dispatch
             .submit(spec, BackendRequest::Http(backend_request))
             .ok_or(RequestError::Rejected { retry_after_seconds: NOT_SUBMITTED_RETRY_SECONDS })?;
-        let awaiting_answer = connection.map(ConnectionState::await_answer);
-        let answer = pending.answer().await;
-        drop(awaiting_answer);
-        match answer {
+        let awaiting_response = connection.map(ConnectionState::await_response);
+        let response = pending.answer().await;
+        drop(awaiting_response);
+        match response {
             FinalResponse::Served(BackendResponse::Http(body)) => Ok(body),
             FinalResponse::Rejected(retry_after) => {
                 Err(RequestError::Rejected { retry_after_seconds: retry_after as f64 / 1e6 })
--- a/crates/sedgerun/src/frontend/http/mod.rs
+++ b/crates/sedgerun/src/frontend/http/mod.rs
@@ -1,18 +1,19 @@
-//! The platform's HTTP/1.1 front end, on actix-http: reads a request, submits it to the dispatcher, writes the answer.
+//! The platform's HTTP/1.1 front end, on actix-http: reads a request, submits it to the dispatcher, and writes the
+//! response.
 //!
 //! | module | job |
 //! | --- | --- |
 //! | `accept` | accepts clients within the limits on connections and descriptors, and runs each in a task |
-//! | `connection` | what is known of one connection: when it was last active, what it waits for |
-//! | `stream` | the client's socket, which keeps that knowledge up to date and reads past unwanted bytes |
-//! | `connections` | the open connections, and which of them gives way to a new one |
-//! | `idle` | which connections are idle, stalled or done, and closing them |
-//! | `handler` | one request from its arrival to its response |
-//! | `request`, `placement` | reads and checks a request's line and headers |
+//! | `connection` | the state of one connection: its last activity and the stage of its request |
+//! | `stream` | the client's socket, which records its activity in `connection` and discards surplus bytes |
+//! | `connections` | the open connections, and evicting one of them in favour of a new client |
+//! | `idle` | decides which connections are idle, stalled or finished, and closes them |
+//! | `handler` | handles one request from its arrival to its response |
+//! | `request`, `placement` | parse and validate a request's line and headers |
 //! | `body` | reads a request's body within a memory budget and a deadline |
-//! | `error`, `response` | what is wrong with a request, and responses |
+//! | `error`, `response` | errors of a request, and the responses that the front end builds |
 //!
-//! All of it runs on one thread: state is shared by `Rc` and `Cell`, and owned by the connection's task.
+//! The front end runs on one thread: state is shared by `Rc` and `Cell`, and owned by the connection's task.
 
 mod accept;
 mod body;
@@ -28,7 +29,7 @@
 
 pub use accept::bind;
 pub use connections::Connections;
-pub use idle::GIVE_WAY_TIME;
+pub use idle::MIN_EVICTION_IDLE;
 
 use crate::backend::answer::MemoryBudget;
 use crate::config::Config;
@@ -38,27 +39,27 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Time in which a client must send a complete request, from its first byte or from connecting. A client that does
-/// not is owed an error or a close within 3 s.
+/// Time in which a client must send a complete request, from its first byte or, for the first request, from connecting.
+/// It leaves time to send an error or to close the connection within the 3 s that clients are promised.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(2200);
 
-/// The HTTP front end of one program.
+/// The HTTP front end of this head.
 pub struct HttpFrontend {
     dispatch: Rc<DispatchService>,
     config: Rc<Config>,
     ids: Rc<RequestIds>,
-    /// Its client connections.
+    /// The open client connections.
     pub connections: Connections,
-    /// The program is closing: each answer closes its connection.
+    /// The head is shutting down: each response closes its connection.
     pub is_closing: Cell<bool>,
-    /// Operators have drained this head: `/healthz` answers 503, and each answer closes its connection.
+    /// An operator has drained this head: `/healthz` responds with 503, and each response closes its connection.
     pub is_drained: Cell<bool>,
-    /// Memory for the bodies of requests over 64 KiB.
+    /// Memory for request bodies over 64 KiB.
     body_budget: MemoryBudget,
 }
 
 impl HttpFrontend {
-    /// A front end that submits its requests to this dispatch service.
+    /// Creates a front end that submits its requests to `dispatch`.
     pub fn new(dispatch: Rc<DispatchService>, config: Rc<Config>) -> Rc<HttpFrontend> {
         let body_budget = MemoryBudget::new(
             config.resource_limits.request_body_bytes,
--- a/crates/sedgerun/src/frontend/http/placement.rs
+++ b/crates/sedgerun/src/frontend/http/placement.rs
@@ -1,35 +1,36 @@
-//! The `X-Placement` header: which volume a request counts for, and where it is stored.
+//! The `X-Placement` header: the volume that a request is charged to, and the shard that stores its item.
 
-/// The largest shard number, and the most heads, that a request can name.
-const MOST_SHARD: i64 = 65_535;
-const MOST_HEADS: f64 = 65_535.0;
+/// The largest shard number in a request.
+const MAX_SHARD: i64 = 65_535;
+/// The largest number of heads in a request.
+const MAX_HEADS: f64 = 65_535.0;
 
-/// What `X-Placement` says.
+/// The parsed `X-Placement` header.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct Placement {
-    /// The volume that the request counts for.
+    /// The volume that the request is charged to.
     pub(super) volume: u64,
-    /// Units of work that the request counts.
+    /// Units of work that the request is charged.
     pub(super) units: f64,
-    /// The shard that stores the item, where it is stored in one.
+    /// The shard that stores the item; `None` if no shard does.
     pub(super) shard: Option<u32>,
-    /// Heads through which the volume is used.
+    /// The number of heads that serve the volume.
     pub(super) heads: f64,
 }
 
 impl Placement {
-    /// Reads `volume=…,units=…,shard=…,hosts=…`, each once; `None` where it is malformed.
-    pub(super) fn parse(text: &str, most_units: f64) -> Option<Placement> {
+    /// Parses `volume=…,units=…,shard=…,hosts=…`, each exactly once; `None` if the text is malformed.
+    pub(super) fn parse(text: &str, max_units: f64) -> Option<Placement> {
         let (mut volume, mut units, mut shard, mut heads) = (None, None, None, None);
         for pair in text.split(',') {
             let (name, value) = pair.split_once('=')?;
             let value = value.trim();
             let repeated = match name.trim() {
                 "volume" => volume.replace(parse_hexadecimal(value)?).is_some(),
-                // More than a request can count would empty its volume's token buckets for long.
-                "units" => units.replace(parse_count(value, most_units.max(1.0))?).is_some(),
+                // A larger count would exhaust the volume's token buckets for a long time.
+                "units" => units.replace(parse_count(value, max_units.max(1.0))?).is_some(),
                 "shard" => shard.replace(parse_shard(value)?).is_some(),
-                "hosts" => heads.replace(parse_count(value, MOST_HEADS)?).is_some(),
+                "hosts" => heads.replace(parse_count(value, MAX_HEADS)?).is_some(),
                 _ => false,
             };
             if repeated {
@@ -40,18 +41,18 @@
     }
 }
 
-/// Reads 16 hexadecimal digits.
+/// Parses exactly 16 hexadecimal digits.
 pub(super) fn parse_hexadecimal(text: &str) -> Option<u64> {
     let is_hexadecimal = text.len() == 16 && text.bytes().all(|byte| byte.is_ascii_hexdigit());
     if is_hexadecimal { u64::from_str_radix(text, 16).ok() } else { None }
 }
 
-/// Reads a whole number from 1 to `most`.
-fn parse_count(text: &str, most: f64) -> Option<f64> {
-    text.parse::<u32>().ok().map(f64::from).filter(|count| (1.0..=most).contains(count))
+/// Parses an integer from 1 to `max`.
+fn parse_count(text: &str, max: f64) -> Option<f64> {
+    text.parse::<u32>().ok().map(f64::from).filter(|count| (1.0..=max).contains(count))
 }
 
-/// Reads a shard's number; -1 stands for none.
+/// Parses a shard number; -1 means no shard.
 fn parse_shard(text: &str) -> Option<i64> {
-    text.parse::<i64>().ok().filter(|shard| (-1..=MOST_SHARD).contains(shard))
+    text.parse::<i64>().ok().filter(|shard| (-1..=MAX_SHARD).contains(shard))
 }
--- a/crates/sedgerun/src/frontend/http/request.rs
+++ b/crates/sedgerun/src/frontend/http/request.rs
@@ -1,7 +1,7 @@
-//! Reads and checks a request's line and headers.
+//! Parses and validates a request's line and headers.
 //!
-//! All that a backend would read is checked here: a backend closes on what it cannot read, whatever else waits on that
-//! connection.
+//! Everything that a backend parses is validated here: a backend closes its connection on a malformed request, which
+//! fails the other requests on that connection too.
 
 use super::body::RequestBody;
 use super::error::{Excerpt, RequestError};
@@ -19,45 +19,44 @@
 const CHUNK: &str = "X-Chunk";
 const TIMEOUT: &str = "Request-Timeout-Ms";
 const PLACEMENT: &str = "X-Placement";
-/// Headers that are passed on where a request has them. Guards against a repeat that no backend can tell: requests
-/// with an idempotency key bring it here.
+/// Headers that are forwarded if a request has them. Backends need `Idempotency-Key` to recognise a repeated request.
 const OPTIONAL_HEADERS: [&str; 3] = ["Client-Retry", "Content-Type", "Idempotency-Key"];
-/// The longest timeout that a client can ask for, in milliseconds.
-const MOST_TIMEOUT_MS: u64 = 3_600_000;
+/// The longest timeout that a client can request, in milliseconds.
+const MAX_TIMEOUT_MS: u64 = 3_600_000;
 
-/// A request without its body, read and checked.
+/// A validated request without its body.
 pub(super) struct ParsedRequest {
     id: String,
-    /// The id as a number.
-    pub(super) number: u64,
+    /// The `Request-Id` as a number.
+    pub(super) numeric_id: u64,
     pub(super) method: Method,
     /// Path and query.
     target: String,
-    /// The headers that are passed on to a backend.
+    /// The headers that are forwarded to a backend.
     headers: Vec<(&'static str, String)>,
     class: usize,
     plan: usize,
     key: u64,
-    /// How long the client waits, from the last byte of its request.
+    /// The client's timeout, limited to that of its class, from the last byte of the request.
     pub(super) timeout: Micros,
     placement: Placement,
-    /// What `Content-Length` says in bytes, where it is there.
+    /// `Content-Length` in bytes; `None` if it is missing or malformed.
     pub(super) content_length: Option<u64>,
 }
 
 impl ParsedRequest {
-    /// Reads a request whose body may have up to `most_body` bytes.
+    /// Parses a request whose body may have up to `max_body_bytes` bytes.
     ///
     /// # Errors
-    /// The first thing that is wrong with it.
+    /// The first check that the request fails.
     pub(super) fn read(
         request: &Request,
         config: &Config,
-        most_body: usize,
+        max_body_bytes: usize,
     ) -> Result<ParsedRequest, RequestError> {
         let headers = request.headers();
         let id = header_text(headers, REQUEST_ID)?;
-        let number = parse_hexadecimal(id).ok_or_else(|| malformed(REQUEST_ID, id))?;
+        let numeric_id = parse_hexadecimal(id).ok_or_else(|| malformed(REQUEST_ID, id))?;
         let class_name = class_name(request.path());
         let class =
             config.class(class_name).ok_or_else(|| RequestError::UnknownClass(Excerpt::of(class_name)))?;
@@ -71,30 +70,30 @@
             .ok_or_else(|| malformed(PLACEMENT, placement_text))?;
         check_method(request.method(), class_name, config.class_changes_data.get(class).copied())?;
         let target = read_target(request)?;
-        let content_length = read_content_length(headers, most_body)?;
-        let mut passed_headers = vec![
+        let content_length = read_content_length(headers, max_body_bytes)?;
+        let mut forwarded_headers = vec![
             (QOS_POLICY, plan_name.to_owned()),
             (CHUNK, chunk.to_owned()),
             (PLACEMENT, placement_text.to_owned()),
         ];
-        passed_headers.extend(read_optional_headers(headers)?);
+        forwarded_headers.extend(read_optional_headers(headers)?);
         Ok(ParsedRequest {
             id: id.to_owned(),
-            number,
+            numeric_id,
             method: request.method().clone(),
             target,
-            headers: passed_headers,
+            headers: forwarded_headers,
             class,
             plan,
             key,
-            // No client waits past its class's deadline; guards against requests that would be queued for ever.
+            // Limited to the timeout of the class, so that no request is queued indefinitely.
             timeout: timeout.min(config.settings.classes[class].timeout),
             placement,
             content_length,
         })
     }
 
-    /// What the dispatcher is given: the request's terms, and what a backend is sent.
+    /// Converts the request into its specification for the dispatcher and the request to send to a backend.
     pub(super) fn into_backend_request(
         self,
         deadline: Micros,
@@ -124,7 +123,7 @@
     }
 }
 
-/// The name of the class that a path names: its first part.
+/// The class name in a path: its first segment.
 pub(super) fn class_name(path: &str) -> &str {
     path.trim_start_matches('/').split('/').next().unwrap_or_default()
 }
@@ -133,7 +132,7 @@
     RequestError::MalformedHeader { name, value: Excerpt::of(value) }
 }
 
-/// The value of a header that is there once.
+/// The value of a header that must occur exactly once.
 fn header_text<'a>(headers: &'a HeaderMap, name: &'static str) -> Result<&'a str, RequestError> {
     let mut values = headers.get_all(name);
     let value = values.next().ok_or(RequestError::MissingHeader(name))?;
@@ -143,15 +142,16 @@
     value.to_str().map(str::trim).map_err(|_| RequestError::NonTextHeader(name))
 }
 
-/// How long the client waits.
+/// Parses the client's timeout.
 fn read_timeout(headers: &HeaderMap) -> Result<Micros, RequestError> {
     let text = header_text(headers, TIMEOUT)?;
     let timeout_ms: Option<u64> = text.parse().ok();
-    let timeout_ms = timeout_ms.filter(|timeout_ms| (1..=MOST_TIMEOUT_MS).contains(timeout_ms));
+    let timeout_ms = timeout_ms.filter(|timeout_ms| (1..=MAX_TIMEOUT_MS).contains(timeout_ms));
     timeout_ms.map(|timeout_ms| timeout_ms * 1000).ok_or_else(|| malformed(TIMEOUT, text))
 }
 
-/// Checks that a class has a method: `writes` says whether its requests are writes, where that is configured.
+/// Checks that a class allows a method. `writes` states whether the class changes data; `None` if not configured,
+/// which allows both GET and PUT.
 fn check_method(method: &Method, class_name: &str, writes: Option<bool>) -> Result<(), RequestError> {
     let is_allowed = match *method {
         Method::GET => writes != Some(true),
@@ -165,7 +165,7 @@
     Err(RequestError::MethodNotAllowed { method, class: class_name.to_owned() })
 }
 
-/// Path and query, of a request that stays with HTTP/1.1.
+/// The path and query of a request. Absolute targets and protocol upgrades are rejected.
 fn read_target(request: &Request) -> Result<String, RequestError> {
     let uri = request.uri();
     let target = uri.path_and_query().map_or("/", |target| target.as_str());
@@ -175,17 +175,18 @@
     Ok(target.to_owned())
 }
 
-/// What `Content-Length` says, where it is there and no body is larger than it can be.
-fn read_content_length(headers: &HeaderMap, most_body: usize) -> Result<Option<u64>, RequestError> {
+/// Parses `Content-Length` and checks it against the largest body that is accepted. A missing or malformed value is
+/// `None`.
+fn read_content_length(headers: &HeaderMap, max_body_bytes: usize) -> Result<Option<u64>, RequestError> {
     let length: Option<u64> =
         headers.get("Content-Length").and_then(|value| value.to_str().ok()?.trim().parse().ok());
-    if length.is_some_and(|length| length > most_body as u64) {
-        return Err(RequestError::BodyTooLarge { most: most_body });
+    if length.is_some_and(|length| length > max_body_bytes as u64) {
+        return Err(RequestError::BodyTooLarge { max: max_body_bytes });
     }
     Ok(length)
 }
 
-/// The optional headers that a request has.
+/// The optional headers that are present in a request.
 fn read_optional_headers(headers: &HeaderMap) -> Result<Vec<(&'static str, String)>, RequestError> {
     let present = OPTIONAL_HEADERS.into_iter().filter(|name| headers.contains_key(*name));
     present.map(|name| Ok((name, header_text(headers, name)?.to_owned()))).collect()
--- a/crates/sedgerun/src/frontend/http/response.rs
+++ b/crates/sedgerun/src/frontend/http/response.rs
@@ -1,10 +1,10 @@
-//! The responses that the front end writes itself.
+//! Builds the responses of the HTTP front end.
 
 use actix_http::body::BoxBody;
 use actix_http::{Response, StatusCode};
 use bytes::Bytes;
 
-/// A line of text.
+/// A response whose body is one line of text.
 pub(super) fn text_line(status: StatusCode, line: &str) -> Response<BoxBody> {
     Response::build(status)
         .insert_header(("Content-Type", "text/plain"))
@@ -12,12 +12,12 @@
         .map_into_boxed_body()
 }
 
-/// What a backend answered a request that it served.
+/// A 200 with the body of a backend's response.
 pub(super) fn served(body: Bytes) -> Response<BoxBody> {
     Response::build(StatusCode::OK).body(body).map_into_boxed_body()
 }
 
-/// A 503 with the seconds after which the client may retry, where there are any.
+/// A 503 with `Retry-After`, unless `retry_after_seconds` is 0.
 pub(super) fn rejected(retry_after_seconds: f64) -> Response<BoxBody> {
     let mut response = Response::build(StatusCode::SERVICE_UNAVAILABLE);
     if retry_after_seconds > 0.0 {
--- a/crates/sedgerun/src/frontend/http/stream.rs
+++ b/crates/sedgerun/src/frontend/http/stream.rs
@@ -1,5 +1,6 @@
-//! A client's socket as actix-http reads and writes it. It records the connection's activity, withholds what comes
-//! while an answer is awaited, and reads on behind a last answer, so that no close resets the connection.
+//! A client's socket as actix-http reads and writes it. It records the connection's activity, discards bytes received
+//! while a response is pending, and keeps reading after the last response, so that closing does not reset the
+//! connection.
 
 use super::connection::ConnectionState;
 use crate::descriptors::DescriptorPermit;
@@ -11,42 +12,43 @@
 use std::time::Instant;
 use tokio::net::TcpStream;
 
-/// Bytes that are read at once of what is discarded.
+/// Size of one read of bytes to discard.
 const DISCARD_READ_BYTES: usize = 4 * 1024;
-/// The most bytes that are discarded before other tasks are polled.
-const MOST_DISCARDED_BYTES: usize = 256 * 1024;
-/// The most bytes that are passed on to actix-http at once: far under the 128 KiB that it reads ahead.
-const MOST_PASSED_BYTES: usize = 16 * 1024;
+/// The most bytes that are discarded before the task yields to others.
+const MAX_DISCARDED_BYTES: usize = 256 * 1024;
+/// The most bytes that are delivered to actix-http before it must process them: well below the 128 KiB that it
+/// buffers.
+const MAX_DELIVERED_BYTES: usize = 16 * 1024;
 
-/// A client's socket that records its activity, and when its client has disconnected.
+/// A client's socket that records its activity and whether the client has disconnected.
 #[derive(Debug)]
 pub(super) struct ClientStream {
     stream: TcpStream,
     connection: Rc<ConnectionState>,
-    /// Bytes passed on since actix-http last processed what it has.
-    passed_bytes: usize,
+    /// Bytes delivered since actix-http last processed its buffer.
+    delivered_bytes: usize,
     _descriptor: DescriptorPermit,
 }
 
 impl ClientStream {
-    /// A stream that records its activity in `connection`, and holds its descriptor's permit.
+    /// Wraps a socket so that it records its activity in `connection`; holds the descriptor's permit.
     pub(super) fn new(
         stream: TcpStream,
         connection: Rc<ConnectionState>,
         descriptor: DescriptorPermit,
     ) -> ClientStream {
-        ClientStream { stream, connection, passed_bytes: 0, _descriptor: descriptor }
+        ClientStream { stream, connection, delivered_bytes: 0, _descriptor: descriptor }
     }
 
-    /// The connection that its activity is recorded in.
+    /// The connection state that the stream records its activity in.
     pub(super) fn connection(&self) -> Rc<ConnectionState> {
         Rc::clone(&self.connection)
     }
 
-    /// Reads and discards what comes, up to the connection's end.
+    /// Reads and discards bytes until the client closes its side.
     fn discard(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let mut bytes = [0; DISCARD_READ_BYTES];
-        let mut left = MOST_DISCARDED_BYTES;
+        let mut left = MAX_DISCARDED_BYTES;
         loop {
             let mut buf = ReadBuf::new(&mut bytes);
             ready!(Pin::new(&mut self.stream).poll_read(cx, &mut buf))?;
@@ -56,19 +58,18 @@
             self.connection.record_discarded();
             left = left.saturating_sub(buf.filled().len());
             if left == 0 {
-                // Other tasks are polled in between.
                 cx.waker().wake_by_ref();
                 return Poll::Pending;
             }
         }
     }
 
-    /// Reads what there is for actix-http.
-    fn pass_on(&mut self, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
+    /// Reads available bytes into the buffer of actix-http.
+    fn deliver(&mut self, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
         let polled = Pin::new(&mut self.stream).poll_read(cx, buf);
         let received = buf.filled().len() - before;
-        self.passed_bytes = if polled.is_pending() { 0 } else { self.passed_bytes + received };
+        self.delivered_bytes = if polled.is_pending() { 0 } else { self.delivered_bytes + received };
         if received > 0 {
             self.connection.record_received();
         }
@@ -82,27 +83,27 @@
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        // Guards against a client that sends ahead and leaves: behind 128 KiB that it has no use for, actix-http
-        // reads no more, and would not notice that the client has disconnected while its request waits. So it gets
-        // nothing then; nor behind a last answer.
-        let awaiting_answer = self.connection.awaiting_answer();
-        if awaiting_answer || self.connection.last_answer_at().is_some() {
+        // actix-http stops reading once it has buffered 128 KiB of unprocessed bytes, and would then not detect that
+        // the client of a pending request has disconnected. So bytes are discarded while a response is pending, and
+        // after the closing response.
+        let awaiting_response = self.connection.awaiting_response();
+        if awaiting_response || self.connection.responses_ended_at().is_some() {
             let polled = self.discard(cx);
-            self.connection.set_client_disconnected(awaiting_answer && polled.is_ready());
+            self.connection.set_client_disconnected(awaiting_response && polled.is_ready());
             return polled;
         }
-        // What was discarded was a request, or a part of one: behind the answers to what came before it the
-        // connection ends.
+        // The discarded bytes were at least part of a request, so the stream ends here: the connection closes after
+        // the responses to earlier requests.
         if self.connection.has_discarded() {
             return Poll::Ready(Ok(()));
         }
-        // And it gets no more at once than leaves room in its buffer, so that it processes what it has in between.
-        if self.passed_bytes >= MOST_PASSED_BYTES {
-            self.passed_bytes = 0;
+        // Limits the bytes delivered at once, so that actix-http processes its buffer before it is full.
+        if self.delivered_bytes >= MAX_DELIVERED_BYTES {
+            self.delivered_bytes = 0;
             cx.waker().wake_by_ref();
             return Poll::Pending;
         }
-        self.pass_on(cx, buf)
+        self.deliver(cx, buf)
     }
 }
 
@@ -120,10 +121,10 @@
     }
 
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        // Guards against a close over bytes that nobody has read: it resets the connection, and an answer on its
-        // way is lost with it. What comes now comes behind the last answer, or gets no answer; the sweep ends
-        // the wait for a client that stays.
-        self.connection.end_answers();
+        // Closing a socket with unread bytes resets the connection, which can lose a response in transit. So bytes
+        // that arrive now are discarded; they get no response. The sweep closes the connection if the client
+        // does not.
+        self.connection.end_responses();
         ready!(Pin::new(&mut self.stream).poll_shutdown(cx))?;
         self.discard(cx)
     }
--- a/crates/sedgerun/src/frontend/mod.rs
+++ b/crates/sedgerun/src/frontend/mod.rs
@@ -1,6 +1,6 @@
-//! The server side: takes requests from clients, each over its own wire, and hands them to the dispatcher.
+//! The server side: receives requests from clients over HTTP/1.1 or 9P2000 and submits them to the dispatcher.
 //!
-//! A front end owns its client connections and whatever it keeps for them; it makes no attempts at backends itself.
+//! A front end owns its client connections and their state; attempts at backends are made by the dispatch service.
 
 pub mod http;
 pub mod ninep;
--- a/crates/sedgerun/src/frontend/ninep/accept.rs
+++ b/crates/sedgerun/src/frontend/ninep/accept.rs
@@ -7,10 +7,10 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 
-/// Pause after a connection that could not be accepted.
+/// Delay before the next accept after a failed one.
 const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(5);
 
-/// A session's place among the open ones, and its descriptor, for as long as its task lives.
+/// Holds an open session's descriptor; removes and resets the session when its task ends.
 struct OpenSession {
     frontend: Rc<NinePFrontend>,
     number: u64,
@@ -27,14 +27,14 @@
 }
 
 impl NinePFrontend {
-    /// Accepts clients for as long as the future is polled. `shared` marks those that came to an address
-    /// which may pass to another head.
+    /// Accepts clients for as long as the future is polled. `shared` marks their sessions as being at an address that
+    /// another head may take over.
     pub async fn serve(self: Rc<Self>, listener: TcpListener, shared: bool) {
         loop {
             let stream = match listener.accept().await {
                 Ok((stream, _)) => stream,
                 Err(error) => {
-                    tracing::warn!("9P accept: {error}");
+                    tracing::warn!("accepting a 9P client failed: {error}; retrying");
                     tokio::time::sleep(ACCEPT_RETRY_PAUSE).await;
                     continue;
                 }
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Whether one more client can be served; backends keep their descriptors.
+    /// Whether one more client can be served, with the descriptors for backends left free.
     fn has_capacity_for_client(&self) -> bool {
         let descriptors_left = self.dispatch.backends().descriptors().available();
         descriptors_left > self.config.resource_limits.descriptors_for_backends
@@ -55,7 +55,7 @@
     /// Serves a client in a task of its own, which ends with the connection.
     fn serve_session(self: &Rc<Self>, stream: TcpStream, shared: bool) {
         let _ = stream.set_nodelay(true);
-        let (reading, mut writing) = stream.into_split();
+        let (reader, mut writer) = stream.into_split();
         let (session, mut replies) = Session::new(shared);
         let session = Rc::new(session);
         let number = self.next_session.replace(self.next_session.get() + 1);
@@ -65,8 +65,8 @@
         let task = actix_rt::spawn(async move {
             let frontend = Rc::clone(&open_session.frontend);
             tokio::select! {
-                () = served.write_replies(&mut replies, &mut writing) => {}
-                () = frontend.read_messages(&served, reading) => {}
+                () = served.write_replies(&mut replies, &mut writer) => {}
+                () = frontend.read_messages(&served, reader) => {}
             }
         });
         self.sessions.borrow_mut().insert(number, ServedSession { session, task: task.abort_handle() });
--- a/crates/sedgerun/src/frontend/ninep/error.rs
+++ b/crates/sedgerun/src/frontend/ninep/error.rs
@@ -1,4 +1,4 @@
-//! Why an operation fails. Clients read the texts, as the `ename` of an `Rerror`.
+//! Errors of operations. The texts are sent to clients as the `ename` of an `Rerror`.
 
 use sedgerun_policy::Micros;
 use sedgerun_protocol_9p::MalformedMessage;
@@ -7,7 +7,7 @@
 /// Why an operation fails.
 #[derive(Debug, Error)]
 pub(super) enum NinePError {
-    /// A message other than `Tversion` came first.
+    /// The first message was not a `Tversion`.
     #[error("no version agreed on")]
     NoVersion,
     /// `Tauth`, or an attach with an authentication fid.
@@ -16,25 +16,25 @@
     /// The message is a reply.
     #[error("not a request")]
     NotARequest,
-    /// No tenant has such an export.
+    /// No tenant has an export of this name.
     #[error("unknown export {0}")]
     UnknownExport(String),
-    /// The fid's export was removed, or changed.
+    /// The fid's export has been removed or changed.
     #[error("export {0} has changed")]
     ExportChanged(String),
-    /// The session has no such fid.
+    /// The session has no fid of this number.
     #[error("unknown fid")]
     UnknownFid,
-    /// The number of a new fid is taken.
+    /// The number of a new fid is in use or reserved.
     #[error("fid is in use")]
     FidInUse,
-    /// The session has as many fids as it may.
+    /// The session has reached its limit of fids.
     #[error("too many fids")]
     TooManyFids,
-    /// The operation needs a fid that is not open.
+    /// The operation requires a fid that is not open.
     #[error("fid is open")]
     FidIsOpen,
-    /// The operation needs an open fid.
+    /// The operation requires an open fid.
     #[error("fid is not open")]
     FidIsNotOpen,
     /// The fid is open for writing only.
@@ -43,7 +43,7 @@
     /// The fid is open for reading or executing only.
     #[error("fid is not open for writing")]
     NotOpenForWriting,
-    /// A file's name is empty, or has a slash.
+    /// A file name is empty, contains a slash, or is `.` or `..` where a file is created.
     #[error("malformed name")]
     MalformedName,
     /// The path has too many names, or too many bytes.
@@ -51,17 +51,17 @@
     PathTooDeep,
     /// An export's root cannot be removed.
     #[error("the root stays")]
-    RootStays,
-    /// A directory entry cannot be read.
+    RootNotRemovable,
+    /// A directory entry is malformed.
     #[error(transparent)]
     MalformedStat(#[from] MalformedMessage),
-    /// The client has cancelled the operation before its request was submitted.
+    /// The client cancelled the operation before its request was submitted.
     #[error("interrupted")]
     Cancelled,
-    /// The request is shed; the client may retry after so long.
+    /// The request is shed; the client may retry after `retry_after`.
     #[error("refused: come back in {:.3} s", *retry_after as f64 / 1e6)]
     Rejected { retry_after: Micros },
-    /// The attempts have failed; one may have run.
+    /// The attempts have failed; a backend may have executed one.
     #[error("failed: it may have run")]
     Failed,
 }
--- a/crates/sedgerun/src/frontend/ninep/fids.rs
+++ b/crates/sedgerun/src/frontend/ninep/fids.rs
@@ -1,5 +1,5 @@
-//! The fids of a session: which file each stands for, and how it is open. No reference into the table is kept across an
-//! operation, which works on a copy of its fid.
+//! The fids of a session: the file that each refers to, and the mode that it is open in. An operation works on a
+//! copy of its fid, so that no borrow of the table is held while it waits.
 
 use super::error::NinePError;
 use crate::tenants::Export;
@@ -8,17 +8,17 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// What a fid stands for.
+/// The state of a fid: the file that it refers to.
 #[derive(Clone)]
 pub(super) struct Fid {
     pub(super) export: Rc<Export>,
-    /// The user that attached.
+    /// The user name given at attach.
     pub(super) uname: String,
-    /// The names from the export's root.
+    /// The path from the export's root, a name per element.
     pub(super) path: Vec<String>,
-    /// The mode that it is open in.
+    /// The mode that the file is open in; `None` if it is not open.
     pub(super) open_mode: Option<u8>,
-    /// What backends keep its open file under.
+    /// Identifies the open file at backends.
     pub(super) handle: u64,
 }
 
@@ -29,7 +29,7 @@
     }
 }
 
-/// The fids of a session by their numbers.
+/// The fids of a session by number.
 #[derive(Default)]
 pub(super) struct FidTable(RefCell<HashMap<u32, Fid>>);
 
@@ -39,13 +39,13 @@
         self.0.borrow().get(&number).cloned().ok_or(NinePError::UnknownFid)
     }
 
-    /// Checks that a new fid may have this number, of at most so many fids.
-    pub(super) fn check_vacant(&self, number: u32, most: usize) -> Result<(), NinePError> {
+    /// Checks that a new fid can have this number, and that the table has fewer than `max` fids.
+    pub(super) fn check_available(&self, number: u32, max: usize) -> Result<(), NinePError> {
         let fids = self.0.borrow();
         if number == NO_FID || fids.contains_key(&number) {
             return Err(NinePError::FidInUse);
         }
-        if fids.len() >= most { Err(NinePError::TooManyFids) } else { Ok(()) }
+        if fids.len() >= max { Err(NinePError::TooManyFids) } else { Ok(()) }
     }
 
     /// Adds a fid, or replaces it.
@@ -53,7 +53,7 @@
         self.0.borrow_mut().insert(number, fid);
     }
 
-    /// Changes a fid, where it is still there.
+    /// Changes a fid, if it still exists.
     pub(super) fn update(&self, number: u32, change: impl FnOnce(&mut Fid)) {
         if let Some(fid) = self.0.borrow_mut().get_mut(&number) {
             change(fid);
@@ -65,7 +65,7 @@
         self.0.borrow_mut().remove(&number).ok_or(NinePError::UnknownFid)
     }
 
-    /// Removes all fids.
+    /// Removes and returns all fids.
     pub(super) fn take_all(&self) -> Vec<Fid> {
         std::mem::take(&mut *self.0.borrow_mut()).into_values().collect()
     }
--- a/crates/sedgerun/src/frontend/ninep/in_flight.rs
+++ b/crates/sedgerun/src/frontend/ninep/in_flight.rs
@@ -1,4 +1,4 @@
-//! The operations of a session that are in flight, by their tags; and `Tflush`, which cancels one.
+//! The operations of a session in flight, by tag, and `Tflush`, which cancels one.
 
 use super::NinePFrontend;
 use super::session::Session;
@@ -13,14 +13,14 @@
 /// An operation in flight.
 pub(super) struct Operation {
     pub(super) session: Rc<Session>,
-    /// Its request in the dispatcher, while there is one.
+    /// The operation's request in the dispatcher; `None` while no request is submitted.
     pub(super) request: Cell<Option<RequestId>>,
     /// The client has cancelled it.
     is_cancelled: Cell<bool>,
 }
 
 impl Operation {
-    /// An operation of a session, without a request yet.
+    /// Creates an operation of a session, without a request.
     pub(super) fn new(session: Rc<Session>) -> Operation {
         Operation { session, request: Cell::new(None), is_cancelled: Cell::new(false) }
     }
@@ -31,26 +31,26 @@
     }
 }
 
-/// The operations of a session by their tags, each with its task.
+/// The operations of a session in flight by tag, each with its task.
 #[derive(Default)]
 pub(super) struct OperationTable {
     by_tag: RefCell<HashMap<u16, (Rc<Operation>, AbortHandle)>>,
-    /// Notified when an operation is over.
+    /// Notified when an operation ends.
     ended: Notify,
 }
 
 impl OperationTable {
-    /// Whether none is in flight.
+    /// Whether no operation is in flight.
     pub(super) fn is_empty(&self) -> bool {
         self.by_tag.borrow().is_empty()
     }
 
-    /// Whether one with this tag is in flight.
+    /// Whether an operation with this tag is in flight.
     pub(super) fn contains(&self, tag: u16) -> bool {
         self.by_tag.borrow().contains_key(&tag)
     }
 
-    /// The one with this tag.
+    /// The operation with this tag.
     fn get(&self, tag: u16) -> Option<Rc<Operation>> {
         self.by_tag.borrow().get(&tag).map(|(operation, _)| Rc::clone(operation))
     }
@@ -60,27 +60,27 @@
         self.by_tag.borrow_mut().insert(tag, (operation, task));
     }
 
-    /// Aborts the tasks of all; each leaves the table as its task ends.
+    /// Aborts all tasks; an operation is removed from the table when its task ends.
     pub(super) fn abort_all(&self) {
         let tasks: Vec<AbortHandle> = self.by_tag.borrow().values().map(|(_, task)| task.clone()).collect();
         tasks.iter().for_each(AbortHandle::abort);
     }
 
-    /// Waits until none is in flight.
+    /// Waits until no operation is in flight.
     pub(super) async fn until_empty(&self) {
         while !self.is_empty() {
             self.ended.notified().await;
         }
     }
 
-    /// Waits until fewer than `most` are in flight.
-    pub(super) async fn until_fewer_than(&self, most: usize) {
-        while self.by_tag.borrow().len() >= most {
+    /// Waits until fewer than `max` operations are in flight.
+    pub(super) async fn until_fewer_than(&self, max: usize) {
+        while self.by_tag.borrow().len() >= max {
             self.ended.notified().await;
         }
     }
 
-    /// Waits until none with this tag is in flight.
+    /// Waits until no operation with this tag is in flight.
     async fn until_free(&self, tag: u16) {
         while self.contains(tag) {
             self.ended.notified().await;
@@ -88,7 +88,7 @@
     }
 }
 
-/// An operation's tag and its permit, for as long as it is in flight.
+/// Holds an operation's permit; removes the operation from the table when dropped.
 pub(super) struct TagGuard {
     session: Rc<Session>,
     tag: u16,
@@ -96,7 +96,7 @@
 }
 
 impl TagGuard {
-    /// Holds a tag of a session.
+    /// A guard for an operation's tag in a session.
     pub(super) fn new(session: Rc<Session>, tag: u16, permit: OwnedSemaphorePermit) -> TagGuard {
         TagGuard { session, tag, _permit: permit }
     }
@@ -111,10 +111,10 @@
 }
 
 impl NinePFrontend {
-    /// Cancels the operation with a tag, and answers once it is over.
+    /// Cancels the operation with a tag, and replies once it has ended.
     ///
-    /// Guards against an attempt that begins for a client which has cancelled its operation. One that is in flight
-    /// may have run, and its reply is sent before that of the flush.
+    /// No attempt is started after the cancellation. If an attempt is already in flight, a backend may have executed
+    /// it; the operation's reply is sent before the reply to the flush.
     pub(super) async fn flush(&self, session: &Session, old_tag: u16) -> Message {
         if let Some(operation) = session.operations.get(old_tag) {
             operation.is_cancelled.set(true);
--- a/crates/sedgerun/src/frontend/ninep/mod.rs
+++ b/crates/sedgerun/src/frontend/ninep/mod.rs
@@ -1,19 +1,19 @@
-//! The 9P2000 front end: sessions of clients. Fids live here and keep their paths, so that no backend has to outlive
-//! them; whatever needs a backend goes through the dispatcher, with a deadline.
+//! The 9P2000 front end: client sessions. Fids and their paths are kept in the session, so that a fid stays valid
+//! when a backend is removed; operations on files are submitted to the dispatcher with a deadline.
 //!
 //! | module | job |
 //! | --- | --- |
 //! | `accept` | accepts clients within the limits, and runs each session in a task |
 //! | `session` | one session: its message size, replies, version and reset |
 //! | `reader` | reads a client's messages and starts their operations |
-//! | `in_flight` | the operations of a session by their tags, and flushing them |
+//! | `in_flight` | the operations of a session by tag, and flushing them |
 //! | `fids` | the fids of a session |
-//! | `operations` | what each message does |
+//! | `operations` | carries out each type of message |
 //! | `walk`, `open` | walking to files; opening and creating them |
-//! | `submission` | takes an operation to a backend, through the dispatcher |
-//! | `error` | errors that clients read |
+//! | `submission` | submits an operation to the dispatcher |
+//! | `error` | errors that are sent to clients |
 //!
-//! All of it runs on one thread: a session is owned by its task, and shared with its operations by `Rc`.
+//! The front end runs on one thread: a session is owned by its task, and shared with its operations by `Rc`.
 
 mod accept;
 mod error;
@@ -38,10 +38,11 @@
 use tokio::sync::Semaphore;
 use tokio::task::AbortHandle;
 
-/// Time in which a client must begin its session, and send a complete message from its first byte.
+/// Time in which a client must begin its session with a `Tversion`, and in which it must send the rest of a message
+/// after its first byte.
 const MESSAGE_TIMEOUT: Duration = Duration::from_millis(2200);
 
-/// The 9P front end of one program.
+/// The 9P front end of this head.
 pub struct NinePFrontend {
     dispatch: Rc<DispatchService>,
     config: Rc<Config>,
@@ -49,7 +50,7 @@
     sessions: RefCell<BTreeMap<u64, ServedSession>>,
     next_session: Cell<u64>,
     next_handle: Cell<u64>,
-    /// Permits for operations, until their replies are queued, of all clients.
+    /// Permits for operations of all clients; an operation holds one until its reply is queued.
     operation_permits: Arc<Semaphore>,
 }
 
@@ -60,7 +61,7 @@
 }
 
 impl NinePFrontend {
-    /// A front end that submits to this dispatch service what clients want of these tenants' exports.
+    /// Creates a front end for the exports of `tenants` that submits its requests to `dispatch`.
     pub fn new(
         dispatch: Rc<DispatchService>,
         config: Rc<Config>,
@@ -78,17 +79,17 @@
         })
     }
 
-    /// Sessions that are open.
+    /// The number of open sessions.
     pub fn count(&self) -> usize {
         self.sessions.borrow().len()
     }
 
-    /// Sessions at addresses that may pass to another head.
-    pub fn shared(&self) -> usize {
+    /// The number of open sessions at addresses that another head may take over.
+    pub fn shared_count(&self) -> usize {
         self.sessions.borrow().values().filter(|served| served.session.is_shared()).count()
     }
 
-    /// Ends the sessions that have nothing in flight, all or only those at shared addresses.
+    /// Ends sessions that have nothing in flight: all of them, or only those at shared addresses.
     pub fn close_idle(&self, all: bool) {
         let sessions = self.sessions.borrow();
         let closing =
@@ -96,17 +97,17 @@
         sessions.values().filter(closing).for_each(|served| served.task.abort());
     }
 
-    /// A handle under which backends keep a client's open file.
+    /// Allocates a handle that identifies a client's open file at backends.
     fn new_handle(&self) -> u64 {
         self.next_handle.replace(self.next_handle.get() + 1)
     }
 
-    /// Tells the backends that a client's open file is closed.
+    /// Closes a client's open file at the backends.
     fn release_handle(&self, handle: u64) {
         self.dispatch.backends().ninep.release(handle);
     }
 
-    /// Drops all that a session has: its operations, and its fids.
+    /// Aborts all operations of a session and releases all its fids.
     fn reset(&self, session: &Session) {
         session.operations.abort_all();
         for fid in session.fids.take_all() {
--- a/crates/sedgerun/src/frontend/ninep/open.rs
+++ b/crates/sedgerun/src/frontend/ninep/open.rs
@@ -24,7 +24,7 @@
         Ok(Message::Ropen { qid, iounit: io_unit(session, iounit) })
     }
 
-    /// Creates a file in a fid's directory, and opens it: the fid then stands for the file.
+    /// Creates a file in a fid's directory and opens it; the fid then refers to the new file.
     pub(super) async fn create(
         &self,
         operation: &Operation,
@@ -51,8 +51,9 @@
     }
 }
 
-/// The most data in one message that a client which opens a file is told: no more than its session's messages carry.
+/// The `iounit` for the client: that of the backend, limited to the data that one message of the session carries.
+/// A backend's 0 means no limit.
 fn io_unit(session: &Session, backend_io_unit: u32) -> u32 {
-    let most = session.most_data();
-    if backend_io_unit == 0 { most } else { backend_io_unit.min(most) }
+    let max = session.max_data_bytes();
+    if backend_io_unit == 0 { max } else { backend_io_unit.min(max) }
 }
--- a/crates/sedgerun/src/frontend/ninep/operations.rs
+++ b/crates/sedgerun/src/frontend/ninep/operations.rs
@@ -1,4 +1,4 @@
-//! What each message of a client does.
+//! Carries out the messages of a client.
 
 use super::NinePFrontend;
 use super::error::NinePError;
@@ -12,7 +12,7 @@
 const MODE_READ_WRITE: u8 = 2;
 
 impl NinePFrontend {
-    /// Carries out a message: its reply.
+    /// Carries out a message and returns its reply.
     pub(super) async fn perform(
         &self,
         operation: &Operation,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Makes a fid for an export's root.
+    /// Creates a fid for the root of an export.
     async fn attach(
         &self,
         operation: &Operation,
@@ -55,21 +55,21 @@
         if authentication_fid != NO_FID {
             return Err(NinePError::NoAuthentication);
         }
-        let (fids, most_fids) = (&operation.session.fids, self.config.resource_limits.ninep_fids);
-        fids.check_vacant(number, most_fids)?;
+        let (fids, max_fids) = (&operation.session.fids, self.config.resource_limits.ninep_fids);
+        fids.check_available(number, max_fids)?;
         let export = self.tenants.borrow().export(export_name);
         let export = export.ok_or_else(|| NinePError::UnknownExport(export_name.to_owned()))?;
         let root = Fid { export, uname, path: Vec::new(), open_mode: None, handle: self.new_handle() };
         let reply = self.submit(operation, &root, FileOperation::Attach).await?;
-        // Another operation of the session may have taken the number in between.
-        fids.check_vacant(number, most_fids)?;
+        // Another operation of the session may have used the number in the meantime.
+        fids.check_available(number, max_fids)?;
         if matches!(reply, Message::Rattach { .. }) {
             fids.insert(number, root);
         }
         Ok(reply)
     }
 
-    /// Reads from an open file, at most what one message can carry.
+    /// Reads from an open file, at most the data that one message can carry.
     async fn read(
         &self,
         operation: &Operation,
@@ -82,7 +82,7 @@
         if mode & MODE_ACCESS_MASK == MODE_WRITE {
             return Err(NinePError::NotOpenForReading);
         }
-        let count = count.min(operation.session.most_data());
+        let count = count.min(operation.session.max_data_bytes());
         self.submit(operation, &fid, FileOperation::Read { offset, count }).await
     }
 
@@ -102,28 +102,28 @@
         self.submit(operation, &fid, FileOperation::Write { offset, data }).await
     }
 
-    /// Gives up a fid, and removes its file where it was opened so.
+    /// Removes a fid, and its file if the file was opened with remove-on-close.
     async fn clunk(&self, operation: &Operation, number: u32) -> Result<Message, NinePError> {
         let fid = operation.session.fids.remove(number)?;
         self.release_handle(fid.handle);
         if fid.open_mode.is_some_and(|mode| mode & MODE_REMOVE_ON_CLOSE != 0) {
-            // As with any server of 9P, the clunk succeeds whether or not the file could be removed.
+            // As 9P specifies, the clunk succeeds whether or not the file could be removed.
             let _ = self.submit(operation, &fid, FileOperation::Remove).await;
         }
         Ok(Message::Rclunk)
     }
 
-    /// Removes a file, and gives up its fid whether or not it could be removed.
+    /// Removes a file and its fid. The fid is removed even if the file could not be.
     async fn remove(&self, operation: &Operation, number: u32) -> Result<Message, NinePError> {
         let fid = operation.session.fids.remove(number)?;
         self.release_handle(fid.handle);
         if fid.path.is_empty() {
-            return Err(NinePError::RootStays);
+            return Err(NinePError::RootNotRemovable);
         }
         self.submit(operation, &fid, FileOperation::Remove).await
     }
 
-    /// Changes a file's directory entry; where that renames the file, the fid's path follows.
+    /// Changes a file's directory entry, and updates the fid's path if the file is renamed.
     async fn wstat(&self, operation: &Operation, number: u32, stat: Bytes) -> Result<Message, NinePError> {
         let fids = &operation.session.fids;
         let fid = fids.get(number)?;
--- a/crates/sedgerun/src/frontend/ninep/session.rs
+++ b/crates/sedgerun/src/frontend/ninep/session.rs
@@ -1,4 +1,4 @@
-//! One client's session: its fids, its operations in flight, and the replies on their way to the client.
+//! One client's session: its fids, its operations in flight, and the queue of replies to the client.
 
 use super::NinePFrontend;
 use super::fids::FidTable;
@@ -10,19 +10,19 @@
 use tokio::net::tcp::OwnedWriteHalf;
 use tokio::sync::mpsc;
 
-/// Replies that may wait for a client's socket; past it, their operations wait to be over.
-const MOST_QUEUED_REPLIES: usize = 4;
-/// Time in which a client must take a reply.
+/// Replies that may be queued for a client's socket. Operations wait for a place in a full queue, and stay in flight.
+const MAX_QUEUED_REPLIES: usize = 4;
+/// Time in which a client must read a reply.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
-/// The smallest message size that a client may ask for.
-const LEAST_MESSAGE_SIZE: u32 = 256;
+/// The smallest message size that a client may request, in bytes.
+const MIN_MESSAGE_SIZE: u32 = 256;
 
 /// A client's session.
 pub(super) struct Session {
     replies: mpsc::Sender<Vec<u8>>,
-    /// It came to an address which may pass to another head.
+    /// The client connected to an address that another head may take over.
     is_shared: bool,
-    /// Replies that the client's socket has not taken whole.
+    /// Replies that are queued or not completely written.
     unsent_replies: Cell<usize>,
     message_size: Cell<u32>,
     version_agreed: Cell<bool>,
@@ -31,9 +31,9 @@
 }
 
 impl Session {
-    /// A session, and the queue of its encoded replies.
+    /// Creates a session and the queue of its encoded replies.
     pub(super) fn new(is_shared: bool) -> (Session, mpsc::Receiver<Vec<u8>>) {
-        let (replies, queue) = mpsc::channel(MOST_QUEUED_REPLIES);
+        let (replies, queue) = mpsc::channel(MAX_QUEUED_REPLIES);
         let session = Session {
             replies,
             is_shared,
@@ -46,40 +46,40 @@
         (session, queue)
     }
 
-    /// Whether it came to an address which may pass to another head.
+    /// Whether the client connected to an address that another head may take over.
     pub(super) fn is_shared(&self) -> bool {
         self.is_shared
     }
 
-    /// Whether no operation is in flight and no reply unsent.
+    /// Whether no operation is in flight and no reply is unsent.
     pub(super) fn is_idle(&self) -> bool {
         self.operations.is_empty() && self.unsent_replies.get() == 0
     }
 
-    /// The largest message, in bytes.
+    /// The largest message size, in bytes.
     pub(super) fn message_size(&self) -> u32 {
         self.message_size.get()
     }
 
     /// The most data that one message can carry, in bytes.
-    pub(super) fn most_data(&self) -> u32 {
+    pub(super) fn max_data_bytes(&self) -> u32 {
         self.message_size.get() - IO_HEADER_SIZE
     }
 
-    /// Whether a version has been agreed on.
+    /// Whether a version has been negotiated.
     pub(super) fn version_agreed(&self) -> bool {
         self.version_agreed.get()
     }
 
-    /// Writes replies to the client until the client no longer takes them.
+    /// Writes queued replies to the client until a write fails or times out.
     pub(super) async fn write_replies(
         &self,
         replies: &mut mpsc::Receiver<Vec<u8>>,
-        writing: &mut OwnedWriteHalf,
+        writer: &mut OwnedWriteHalf,
     ) {
         while let Some(frame) = replies.recv().await {
-            // Guards against clients that send requests and do not read: what they hold would shut out others.
-            let written = tokio::time::timeout(WRITE_TIMEOUT, writing.write_all(&frame)).await;
+            // The timeout ends sessions of clients that do not read: their operations hold permits that others need.
+            let written = tokio::time::timeout(WRITE_TIMEOUT, writer.write_all(&frame)).await;
             if !matches!(written, Ok(Ok(()))) {
                 break;
             }
@@ -87,10 +87,10 @@
         }
     }
 
-    /// Queues a reply, once there is a place; `false` once the session has ended.
+    /// Queues a reply, after waiting for a place in the queue; `false` if the session has ended.
     pub(super) async fn reply(&self, tag: u16, message: Message) -> bool {
-        // Counted once it has its place. Guards against a session that a version begins anew while a reply waits
-        // for one: its task ends there, and the count would never come back to none.
+        // Counted only after a place is reserved: a `Tversion` aborts tasks that wait for one, and a count made
+        // before the wait would never be taken back.
         let Ok(place) = self.replies.reserve().await else { return false };
         self.unsent_replies.set(self.unsent_replies.get() + 1);
         place.send(message.encode(tag));
@@ -99,15 +99,16 @@
 }
 
 impl NinePFrontend {
-    /// Begins a session anew with a version: the reply. `None` where the client cannot be talked to.
-    pub(super) fn agree_on_version(
+    /// Resets a session and negotiates its version; returns the reply. `None` if the client's message size is too
+    /// small.
+    pub(super) fn negotiate_version(
         &self,
         session: &Session,
         message_size: u32,
         version: &str,
     ) -> Option<Message> {
         self.reset(session);
-        if message_size < LEAST_MESSAGE_SIZE {
+        if message_size < MIN_MESSAGE_SIZE {
             return None;
         }
         let message_size = message_size.min(MAX_MESSAGE_SIZE);
--- a/crates/sedgerun/src/frontend/ninep/submission.rs
+++ b/crates/sedgerun/src/frontend/ninep/submission.rs
@@ -1,4 +1,4 @@
-//! Takes an operation to a backend, through the dispatcher.
+//! Submits an operation to the dispatcher, which sends it to a backend.
 
 use super::NinePFrontend;
 use super::error::NinePError;
@@ -11,11 +11,11 @@
 use sedgerun_policy::Micros;
 use sedgerun_protocol_9p::{MODE_TRUNCATE, Message};
 
-/// When a client may retry whose request the dispatcher takes none of now.
+/// Time after which a client may retry a request that the dispatch service does not accept at present.
 const NOT_SUBMITTED_RETRY: Micros = 100_000;
 
 impl NinePFrontend {
-    /// Submits an operation on a file to the dispatcher and waits for the final answer: a backend's reply.
+    /// Submits an operation on a file to the dispatcher, and waits for the reply of a backend.
     pub(super) async fn submit(
         &self,
         operation: &Operation,
@@ -23,7 +23,7 @@
         op: FileOperation,
     ) -> Result<Message, NinePError> {
         let export = &fid.export;
-        // Guards against going on with an export that its tenant has lost, or has in another form now.
+        // Operations on an export that has been removed or changed since the attach are rejected.
         let current = self.tenants.borrow().export(&export.name);
         if current.as_ref().is_none_or(|current| current != export) {
             return Err(NinePError::ExportChanged(export.name.clone()));
@@ -45,16 +45,16 @@
             .submit(spec, BackendRequest::Ninep(backend_request))
             .ok_or(NinePError::Rejected { retry_after: NOT_SUBMITTED_RETRY })?;
         operation.request.set(Some(pending.request()));
-        let answer = pending.answer().await;
+        let response = pending.answer().await;
         operation.request.set(None);
-        match answer {
+        match response {
             FinalResponse::Served(BackendResponse::Ninep(message)) => Ok(message),
             FinalResponse::Rejected(retry_after) => Err(NinePError::Rejected { retry_after }),
             _ => Err(NinePError::Failed),
         }
     }
 
-    /// The terms of a request: it has its class's deadline from now.
+    /// The specification of a request for the dispatcher; its deadline is the timeout of its class from now.
     fn request_spec(&self, fid: &Fid, op: &FileOperation) -> RequestSpec {
         let export = &fid.export;
         let (class, bytes) = class_and_bytes(export, op);
@@ -72,7 +72,7 @@
     }
 }
 
-/// The class that an operation has in an export, and the bytes of data that it moves.
+/// The class of an operation in an export, and the bytes of data that it transfers.
 fn class_and_bytes(export: &Export, op: &FileOperation) -> (usize, u32) {
     match op {
         FileOperation::Read { count, .. } if *count >= export.large_bytes => (export.large_class, *count),
@@ -89,7 +89,7 @@
     }
 }
 
-/// The file as an item of data (FNV-1a over its tree and path).
+/// The key of a file for the dispatcher: the FNV-1a hash of its tree and path.
 fn file_key(export: &Export, path: &[String]) -> u64 {
     const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0100_0000_01b3;
--- a/crates/sedgerun/src/frontend/ninep/walk.rs
+++ b/crates/sedgerun/src/frontend/ninep/walk.rs
@@ -7,12 +7,13 @@
 use crate::backend::ninep::FileOperation;
 use sedgerun_protocol_9p::Message;
 
-/// The most names in a path, and the most bytes: its names and a byte each.
-const MOST_PATH_NAMES: usize = 512;
-const MOST_PATH_BYTES: usize = 4096;
+/// The most names in a path.
+const MAX_PATH_NAMES: usize = 512;
+/// The most bytes in a path, with one for each name as its separator.
+const MAX_PATH_BYTES: usize = 4096;
 
 impl NinePFrontend {
-    /// Walks from a fid's file along names, and makes a fid for what it comes to, if it comes all the way.
+    /// Walks along `names` from a fid's file, and creates a fid for the file at the end if every name was found.
     pub(super) async fn walk(
         &self,
         operation: &Operation,
@@ -20,13 +21,13 @@
         new_number: u32,
         names: Vec<String>,
     ) -> Result<Message, NinePError> {
-        let (fids, most_fids) = (&operation.session.fids, self.config.resource_limits.ninep_fids);
+        let (fids, max_fids) = (&operation.session.fids, self.config.resource_limits.ninep_fids);
         let from = fids.get(number)?;
         from.check_not_open()?;
         if new_number != number {
-            fids.check_vacant(new_number, most_fids)?;
+            fids.check_available(new_number, max_fids)?;
         }
-        let path = path_after(&from.path, &names)?;
+        let path = resolve_path(&from.path, &names)?;
         let steps = names.len();
         let reply = if steps == 0 {
             Message::Rwalk { qids: Vec::new() }
@@ -34,9 +35,9 @@
             self.submit(operation, &from, FileOperation::Walk { names }).await?
         };
         if matches!(&reply, Message::Rwalk { qids } if qids.len() == steps) {
-            // Another operation of the session may have taken the number in between.
+            // Another operation of the session may have used the number in the meantime.
             if new_number != number {
-                fids.check_vacant(new_number, most_fids)?;
+                fids.check_available(new_number, max_fids)?;
             }
             fids.insert(new_number, Fid { path, handle: self.new_handle(), ..from });
         }
@@ -44,8 +45,8 @@
     }
 }
 
-/// The path that names lead to from a path.
-fn path_after(from: &[String], names: &[String]) -> Result<Vec<String>, NinePError> {
+/// The path that `names` lead to from `from`.
+fn resolve_path(from: &[String], names: &[String]) -> Result<Vec<String>, NinePError> {
     if names.iter().any(|name| name.is_empty() || name.contains('/')) {
         return Err(NinePError::MalformedName);
     }
@@ -58,7 +59,7 @@
         }
     }
     let bytes: usize = path.iter().map(|name| name.len() + 1).sum();
-    if path.len() > MOST_PATH_NAMES || bytes > MOST_PATH_BYTES {
+    if path.len() > MAX_PATH_NAMES || bytes > MAX_PATH_BYTES {
         return Err(NinePError::PathTooDeep);
     }
     Ok(path)
--- a/crates/sedgerun/src/head/mod.rs
+++ b/crates/sedgerun/src/head/mod.rs
@@ -24,7 +24,7 @@
 use crate::descriptors::Descriptors;
 use crate::discovery::Discovery;
 use crate::dispatch_service::DispatchService;
-use crate::frontend::http::{GIVE_WAY_TIME, HttpFrontend};
+use crate::frontend::http::{HttpFrontend, MIN_EVICTION_IDLE};
 use crate::frontend::ninep::NinePFrontend;
 use crate::management::ManagementServer;
 use crate::replicated_state::apply_replicated_state;
@@ -260,7 +260,7 @@
             // Idle connections to backends are closed, and some of the idle clients: those that wait for an answer
             // need theirs.
             self.dispatch.backends().http.shed_idle();
-            connections.close_idle(limits.descriptors_for_backends, GIVE_WAY_TIME);
+            connections.close_idle(limits.descriptors_for_backends, MIN_EVICTION_IDLE);
         }
     }
 }
--- a/crates/sedgerun/src/head/virtual_addresses.rs
+++ b/crates/sedgerun/src/head/virtual_addresses.rs
@@ -48,7 +48,7 @@
             }
             was_active = is_active;
             self.bind_unbound().await;
-            let still_closing = !is_active && self.ninep.shared() > 0;
+            let still_closing = !is_active && self.ninep.shared_count() > 0;
             if !self.unbound.is_empty() || still_closing {
                 tokio::time::sleep(RETRY_INTERVAL).await;
             } else if self.vrrp.stopped() {
