--- a/crates/sedgerun/src/frontend/http/accept.rs
+++ b/crates/sedgerun/src/frontend/http/accept.rs
@@ -1,4 +1,5 @@
-//! Accepts HTTP clients, within the limits on connections and descriptors, and serves each in a task of its own.
+//! Accepts HTTP clients, within the limits on connections and descriptors, and serves each in a task of its
+//! own.
 
 use super::connection::ConnectionState;
 use super::connections::OpenConnection;
@@ -16,8 +17,9 @@
 use std::time::{Duration, Instant};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Time after which an idle client connection is closed. Clients reuse connections, and a close that races with a
-/// request costs the client a new connection; but some clients keep connections open without using them again.
+/// Time after which an idle client connection is closed. Clients reuse connections, and a close that races
+/// with a request costs the client a new connection; but some clients keep connections open without using
+/// them again.
 const KEEP_ALIVE_TIME: Duration = Duration::from_secs(30);
 /// Delay before the next accept after a failed one.
 const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(5);
@@ -44,7 +46,8 @@
         let factory = HttpService::<ClientStream, _, _>::build()
             .keep_alive(KeepAlive::Timeout(KEEP_ALIVE_TIME))
             .client_request_timeout(REQUEST_TIMEOUT)
-            // Treats a half-closed connection as closed, so that no request is served for a disconnected client.
+            // Treats a half-closed connection as closed, so that no request is served for a disconnected
+            // client.
             .h1_allow_half_closed(false)
             .on_connect_ext(|stream: &ClientStream, data| {
                 data.insert(stream.connection());
@@ -53,7 +56,8 @@
         let handler = factory.new_service(()).await.map_err(|()| io::Error::other("no HTTP service"))?;
         let handler = Rc::new(handler);
         loop {
-            // Accept fails where descriptors are exhausted or the client has disconnected already: both are temporary.
+            // Accept fails where descriptors are exhausted or the client has disconnected already: both are
+            // temporary.
             let Ok((stream, peer)) = listener.accept().await else {
                 tokio::time::sleep(ACCEPT_RETRY_PAUSE).await;
                 continue;
@@ -66,8 +70,8 @@
 
     /// Whether one more client can be served, after evicting an idle connection if necessary.
     ///
-    /// The limits keep descriptors free for backends and discovery. Eviction lets clients with a request connect
-    /// while other clients open connections without end or keep idle ones open.
+    /// The limits keep descriptors free for backends and discovery. Eviction lets clients with a request
+    /// connect while other clients open connections without end or keep idle ones open.
     async fn has_capacity_for_client(&self) -> bool {
         let (limits, count) = (&self.config.resource_limits, self.connections.count());
         let descriptors_short =
@@ -92,10 +96,11 @@
         let served = Rc::clone(&connection);
         let task = actix_rt::spawn(async move {
             let _open_connection = open_connection;
-            // The result is ignored: where a connection ends in an error, nothing is left to send to its client.
+            // The result is ignored: where a connection ends in an error, nothing is left to send to its
+            // client.
             let mut serving = pin!(handler.call((stream, Some(peer))));
-            // Ends the task in the same poll that detects the disconnect. actix-http would drop the request only in
-            // a later poll, and an attempt for the disconnected client could be sent in between.
+            // Ends the task in the same poll that detects the disconnect. actix-http would drop the request
+            // only in a later poll, and an attempt for the disconnected client could be sent in between.
             let until_disconnected = poll_fn(|cx| match serving.as_mut().poll(cx) {
                 Poll::Pending if !served.client_disconnected() => Poll::Pending,
                 _ => Poll::Ready(()),
--- a/crates/sedgerun/src/frontend/http/body.rs
+++ b/crates/sedgerun/src/frontend/http/body.rs
@@ -9,9 +9,9 @@
 use futures_util::StreamExt;
 use std::time::{Duration, Instant};
 
-/// The lowest accepted rate of a body, in bytes per second: the time that a body takes at this rate is added to
-/// `REQUEST_TIMEOUT`.
-const SLOWEST_BODY_RATE: f64 = 64_000.0;
+/// The lowest accepted rate of a body, in bytes per second: the time that a body takes at this rate is added
+/// to `REQUEST_TIMEOUT`.
+const MIN_BODY_BYTES_PER_SECOND: f64 = 64_000.0;
 /// A body of which no part has arrived for this long has stalled.
 const BODY_STALL_TIME: Duration = Duration::from_secs(2);
 /// `Retry-After` in seconds for a request whose body exceeds the memory available at present.
@@ -29,9 +29,9 @@
     budget.max_body_bytes().max(MOST_BODY)
 }
 
-/// Reads a complete request body. A body over 64 KiB reserves memory from `budget`, and is rejected if too little is
-/// available. The whole body has a deadline at `SLOWEST_BODY_RATE`, and each part must arrive within
-/// `BODY_STALL_TIME`.
+/// Reads a complete request body. A body over 64 KiB reserves memory from `budget`, and is rejected if too
+/// little is available. The whole body has a deadline at `MIN_BODY_BYTES_PER_SECOND`, and each part must
+/// arrive within `BODY_STALL_TIME`.
 ///
 /// # Errors
 /// The body is malformed, too large or overdue, or the memory budget is exhausted.
@@ -55,7 +55,7 @@
 /// Time limit for a body of the expected length, from the first byte of its request.
 fn time_limit(expected: usize, max: usize) -> Duration {
     let bytes = max.min(expected.max(MOST_BODY));
-    REQUEST_TIMEOUT + Duration::from_secs_f64(bytes as f64 / SLOWEST_BODY_RATE)
+    REQUEST_TIMEOUT + Duration::from_secs_f64(bytes as f64 / MIN_BODY_BYTES_PER_SECOND)
 }
 
 /// The next part of a body; `None` at its end.
@@ -87,8 +87,8 @@
         Ok(BodyBuffer { budget, bytes, reservation })
     }
 
-    /// Appends a part. For a body without a `Content-Length`, or longer than it states, the reservation grows with
-    /// each part.
+    /// Appends a part. For a body without a `Content-Length`, or longer than it states, the reservation grows
+    /// with each part.
     fn append(&mut self, chunk: &[u8]) -> Result<(), RequestError> {
         let size = self.bytes.len() + chunk.len();
         let reserved = self.reservation.as_ref().map_or(MOST_BODY, MemoryReservation::bytes);
--- a/crates/sedgerun/src/frontend/http/connection.rs
+++ b/crates/sedgerun/src/frontend/http/connection.rs
@@ -1,5 +1,5 @@
-//! The state of one client connection. The stream records reads and writes in it, and the handler the stage of the
-//! request; the accept loop and the sweep use it to decide which connections to close.
+//! The state of one client connection. The stream records reads and writes in it, and the handler the stage
+//! of the request; the accept loop and the sweep use it to decide which connections to close.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -14,8 +14,8 @@
     last_activity_at: Cell<Instant>,
     /// Bytes have been received since the last response.
     received_since_response: Cell<bool>,
-    /// When the first byte of the current request was received, or, before the first request, when the connection
-    /// was accepted. `None` after a response, until the next request begins.
+    /// When the first byte of the current request was received, or, before the first request, when the
+    /// connection was accepted. `None` after a response, until the next request begins.
     request_started_at: Cell<Option<Instant>>,
     /// Any byte has ever been received.
     has_received: Cell<bool>,
@@ -25,8 +25,8 @@
     client_disconnected: Cell<bool>,
     /// Bytes received while a response was pending, or after the last one, have been discarded.
     has_discarded: Cell<bool>,
-    /// When the last response on this connection was produced, or its sending side was shut down; `None` while more
-    /// responses may follow.
+    /// When the last response on this connection was produced, or its sending side was shut down; `None`
+    /// while more responses may follow.
     responses_ended_at: Cell<Option<Instant>>,
     /// Since when a response has been waiting for the client to read it, or its next part; `None` if none is.
     write_pending_since: Cell<Option<Instant>>,
@@ -63,8 +63,8 @@
         self.has_discarded.set(true);
     }
 
-    /// Records a write that was attempted at `now`. Each part that the socket accepts restarts the write timeout,
-    /// since a client that reads slowly is still connected.
+    /// Records a write that was attempted at `now`. Each part that the socket accepts restarts the write
+    /// timeout, since a client that reads slowly is still connected.
     pub(super) fn record_write(&self, now: Instant, accepted: bool) {
         self.last_activity_at.set(now);
         let since = if accepted { now } else { self.write_pending_since.get().unwrap_or(now) };
@@ -112,8 +112,8 @@
         self.received_since_response.get()
     }
 
-    /// When the first byte of the current request was received, or, before the first request, when the connection
-    /// was accepted. `None` after a response, until the next request begins.
+    /// When the first byte of the current request was received, or, before the first request, when the
+    /// connection was accepted. `None` after a response, until the next request begins.
     pub(super) fn request_started_at(&self) -> Option<Instant> {
         self.request_started_at.get()
     }
@@ -133,13 +133,14 @@
         self.client_disconnected.get()
     }
 
-    /// Whether bytes have been discarded that were received while a response was pending or after the last one.
+    /// Whether bytes have been discarded that were received while a response was pending or after the last
+    /// one.
     pub(super) fn has_discarded(&self) -> bool {
         self.has_discarded.get()
     }
 
-    /// When the last response on this connection was produced, or its sending side was shut down; `None` while more
-    /// responses may follow.
+    /// When the last response on this connection was produced, or its sending side was shut down; `None`
+    /// while more responses may follow.
     pub(super) fn responses_ended_at(&self) -> Option<Instant> {
         self.responses_ended_at.get()
     }
@@ -159,8 +160,8 @@
     }
 }
 
-/// Marks a connection as having a request in progress. Dropped when the response is produced or the request is
-/// abandoned.
+/// Marks a connection as having a request in progress. Dropped when the response is produced or the request
+/// is abandoned.
 pub(super) struct RequestInProgress(Option<Rc<ConnectionState>>);
 
 impl RequestInProgress {
--- a/crates/sedgerun/src/frontend/http/connections.rs
+++ b/crates/sedgerun/src/frontend/http/connections.rs
@@ -1,5 +1,5 @@
-//! The open client connections of the HTTP front end, and evicting one in favour of a new client. `idle` adds closing
-//! idle and stalled connections.
+//! The open client connections of the HTTP front end, and evicting one in favour of a new client. `idle` adds
+//! closing idle and stalled connections.
 
 use super::HttpFrontend;
 use super::connection::ConnectionState;
@@ -38,13 +38,13 @@
         self.open.borrow_mut().insert(number, ServedConnection { state, task });
     }
 
-    /// Closes one idle connection to make room for a new one: preferably one that has never sent a byte, and among
-    /// equals the longest idle. Returns whether one was closed, after its descriptor has been released.
+    /// Closes one idle connection to make room for a new one: preferably one that has never sent a byte, and
+    /// among equals the longest idle. Returns whether one was closed, after its descriptor has been released.
     pub(super) async fn evict_longest_idle(&self) -> bool {
         let Some(task) = self.remove_longest_idle() else { return false };
         task.abort();
-        // An aborted task drops its socket only when it is next polled. Without this wait, a burst of new clients
-        // would exceed the descriptor limit.
+        // An aborted task drops its socket only when it is next polled. Without this wait, a burst of new
+        // clients would exceed the descriptor limit.
         while !task.is_finished() {
             tokio::task::yield_now().await;
         }
--- a/crates/sedgerun/src/frontend/http/handler.rs
+++ b/crates/sedgerun/src/frontend/http/handler.rs
@@ -22,12 +22,13 @@
     /// Handles a request and returns its response.
     pub(super) async fn respond(&self, mut request: Request) -> Response<BoxBody> {
         let connection = request.conn_data::<Rc<ConnectionState>>().map(Rc::clone);
-        // actix-http still parses requests that it had read before the closing response. They get no response: the
-        // future stays pending until the sweep closes the connection.
+        // actix-http still parses requests that it had read before the closing response. They get no
+        // response: the future stays pending until the sweep closes the connection.
         if connection.as_ref().is_some_and(|connection| connection.responses_ended_at().is_some()) {
             std::future::pending::<()>().await;
         }
-        // No byte has arrived since the last response, so this request was sent before that response (pipelined).
+        // No byte has arrived since the last response, so this request was sent before that response
+        // (pipelined).
         let is_pipelined =
             connection.as_ref().is_some_and(|connection| !connection.received_since_response());
         let started_at = connection.as_ref().and_then(|connection| connection.request_started_at());
@@ -47,8 +48,8 @@
         response
     }
 
-    /// Counts a final response under its class, if the path names one. The status alone decides: 200 counts as
-    /// served, 429 and 503 as rejected, and any other as failed.
+    /// Counts a final response under its class, if the path names one. The status alone decides: 200 counts
+    /// as served, 429 and 503 as rejected, and any other as failed.
     fn count(&self, request: &Request, status: StatusCode) {
         let Some(class) = self.config.class(class_name(request.path())) else { return };
         let operation_status = match status.as_u16() {
--- a/crates/sedgerun/src/frontend/http/idle.rs
+++ b/crates/sedgerun/src/frontend/http/idle.rs
@@ -5,10 +5,11 @@
 use super::connections::{Connections, ServedConnection};
 use std::time::{Duration, Instant};
 
-/// Idle time after which a connection may be closed in favour of a new client when the limits are reached: a client
-/// that connects is about to send a request, an idle one may not be.
+/// Idle time after which a connection may be closed in favour of a new client when the limits are reached: a
+/// client that connects is about to send a request, an idle one may not be.
 pub const MIN_EVICTION_IDLE: Duration = Duration::from_millis(100);
-/// Idle time after which the sweep may close a connection while the number of connections is over its threshold.
+/// Idle time after which the sweep may close a connection while the number of connections is over its
+/// threshold.
 const SHORT_IDLE_TIME: Duration = Duration::from_secs(2);
 /// Time in which a client must read some part of a response.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
@@ -25,8 +26,9 @@
 impl ConnectionState {
     /// Whether the connection has had no activity for `idle`.
     ///
-    /// A partly received request counts as idle once it has stalled, so that a client which stops in the middle of
-    /// a request does not hold its connection. A connection whose response a slow client is still reading is not idle.
+    /// A partly received request counts as idle once it has stalled, so that a client which stops in the
+    /// middle of a request does not hold its connection. A connection whose response a slow client is still
+    /// reading is not idle.
     fn is_idle_for(&self, idle: Duration) -> bool {
         let limit = if self.received_since_response() { idle.max(REQUEST_STALL_TIME) } else { idle };
         let idle_time = self.last_activity_at().elapsed();
@@ -42,7 +44,8 @@
             || (!self.request_in_progress() && is_overdue(self.request_started_at(), REQUEST_TIMEOUT))
     }
 
-    /// Whether the connection may be closed in favour of a new one: no part of a request or a response is in transit.
+    /// Whether the connection may be closed in favour of a new one: no part of a request or a response is in
+    /// transit.
     pub(super) fn is_evictable(&self) -> bool {
         let is_idle = self.last_activity_at().elapsed() >= MIN_EVICTION_IDLE;
         is_idle
--- a/crates/sedgerun/src/frontend/http/mod.rs
+++ b/crates/sedgerun/src/frontend/http/mod.rs
@@ -1,5 +1,5 @@
-//! The platform's HTTP/1.1 front end, on actix-http: reads a request, submits it to the dispatcher, and writes the
-//! response.
+//! The platform's HTTP/1.1 front end, on actix-http: reads a request, submits it to the dispatcher, and
+//! writes the response.
 //!
 //! | module | job |
 //! | --- | --- |
@@ -39,8 +39,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Time in which a client must send a complete request, from its first byte or, for the first request, from connecting.
-/// It leaves time to send an error or to close the connection within the 3 s that clients are promised.
+/// Time in which a client must send a complete request, from its first byte or, for the first request, from
+/// connecting. It leaves time to send an error or to close the connection within the 3 s that clients are
+/// promised.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(2200);
 
 /// The HTTP front end of this head.
@@ -52,7 +53,8 @@
     pub connections: Connections,
     /// The head is shutting down: each response closes its connection.
     pub is_closing: Cell<bool>,
-    /// An operator has drained this head: `/healthz` responds with 503, and each response closes its connection.
+    /// An operator has drained this head: `/healthz` responds with 503, and each response closes its
+    /// connection.
     pub is_drained: Cell<bool>,
     /// Memory for request bodies over 64 KiB.
     body_budget: MemoryBudget,
--- a/crates/sedgerun/src/frontend/http/request.rs
+++ b/crates/sedgerun/src/frontend/http/request.rs
@@ -1,7 +1,7 @@
 //! Parses and validates a request's line and headers.
 //!
-//! Everything that a backend parses is validated here: a backend closes its connection on a malformed request, which
-//! fails the other requests on that connection too.
+//! Everything that a backend parses is validated here: a backend closes its connection on a malformed
+//! request, which fails the other requests on that connection too.
 
 use super::body::RequestBody;
 use super::error::{Excerpt, RequestError};
@@ -19,7 +19,8 @@
 const CHUNK: &str = "X-Chunk";
 const TIMEOUT: &str = "Request-Timeout-Ms";
 const PLACEMENT: &str = "X-Placement";
-/// Headers that are forwarded if a request has them. Backends need `Idempotency-Key` to recognise a repeated request.
+/// Headers that are forwarded if a request has them. Backends need `Idempotency-Key` to recognise a repeated
+/// request.
 const OPTIONAL_HEADERS: [&str; 3] = ["Client-Retry", "Content-Type", "Idempotency-Key"];
 /// The longest timeout that a client can request, in milliseconds.
 const MAX_TIMEOUT_MS: u64 = 3_600_000;
@@ -150,8 +151,8 @@
     timeout_ms.map(|timeout_ms| timeout_ms * 1000).ok_or_else(|| malformed(TIMEOUT, text))
 }
 
-/// Checks that a class allows a method. `writes` states whether the class changes data; `None` if not configured,
-/// which allows both GET and PUT.
+/// Checks that a class allows a method. `writes` states whether the class changes data; `None` if not
+/// configured, which allows both GET and PUT.
 fn check_method(method: &Method, class_name: &str, writes: Option<bool>) -> Result<(), RequestError> {
     let is_allowed = match *method {
         Method::GET => writes != Some(true),
@@ -175,8 +176,8 @@
     Ok(target.to_owned())
 }
 
-/// Parses `Content-Length` and checks it against the largest body that is accepted. A missing or malformed value is
-/// `None`.
+/// Parses `Content-Length` and checks it against the largest body that is accepted. A missing or malformed
+/// value is `None`.
 fn read_content_length(headers: &HeaderMap, max_body_bytes: usize) -> Result<Option<u64>, RequestError> {
     let length: Option<u64> =
         headers.get("Content-Length").and_then(|value| value.to_str().ok()?.trim().parse().ok());
--- a/crates/sedgerun/src/frontend/http/stream.rs
+++ b/crates/sedgerun/src/frontend/http/stream.rs
@@ -1,6 +1,6 @@
-//! A client's socket as actix-http reads and writes it. It records the connection's activity, discards bytes received
-//! while a response is pending, and keeps reading after the last response, so that closing does not reset the
-//! connection.
+//! A client's socket as actix-http reads and writes it. It records the connection's activity, discards bytes
+//! received while a response is pending, and keeps reading after the last response, so that closing does not
+//! reset the connection.
 
 use super::connection::ConnectionState;
 use crate::descriptors::DescriptorPermit;
@@ -16,8 +16,8 @@
 const DISCARD_READ_BYTES: usize = 4 * 1024;
 /// The most bytes that are discarded before the task yields to others.
 const MAX_DISCARDED_BYTES: usize = 256 * 1024;
-/// The most bytes that are delivered to actix-http before it must process them: well below the 128 KiB that it
-/// buffers.
+/// The most bytes that are delivered to actix-http before it must process them: well below the 128 KiB that
+/// it buffers.
 const MAX_DELIVERED_BYTES: usize = 16 * 1024;
 
 /// A client's socket that records its activity and whether the client has disconnected.
@@ -83,17 +83,17 @@
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        // actix-http stops reading once it has buffered 128 KiB of unprocessed bytes, and would then not detect that
-        // the client of a pending request has disconnected. So bytes are discarded while a response is pending, and
-        // after the closing response.
+        // actix-http stops reading once it has buffered 128 KiB of unprocessed bytes, and would then not
+        // detect that the client of a pending request has disconnected. So bytes are discarded while a
+        // response is pending, and after the closing response.
         let awaiting_response = self.connection.awaiting_response();
         if awaiting_response || self.connection.responses_ended_at().is_some() {
             let polled = self.discard(cx);
             self.connection.set_client_disconnected(awaiting_response && polled.is_ready());
             return polled;
         }
-        // The discarded bytes were at least part of a request, so the stream ends here: the connection closes after
-        // the responses to earlier requests.
+        // The discarded bytes were at least part of a request, so the stream ends here: the connection closes
+        // after the responses to earlier requests.
         if self.connection.has_discarded() {
             return Poll::Ready(Ok(()));
         }
@@ -121,9 +121,9 @@
     }
 
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        // Closing a socket with unread bytes resets the connection, which can lose a response in transit. So bytes
-        // that arrive now are discarded; they get no response. The sweep closes the connection if the client
-        // does not.
+        // Closing a socket with unread bytes resets the connection, which can lose a response in transit. So
+        // bytes that arrive now are discarded; they get no response. The sweep closes the connection if the
+        // client does not.
         self.connection.end_responses();
         ready!(Pin::new(&mut self.stream).poll_shutdown(cx))?;
         self.discard(cx)
--- a/crates/sedgerun/src/frontend/ninep/accept.rs
+++ b/crates/sedgerun/src/frontend/ninep/accept.rs
@@ -27,8 +27,8 @@
 }
 
 impl NinePFrontend {
-    /// Accepts clients for as long as the future is polled. `shared` marks their sessions as being at an address that
-    /// another head may take over.
+    /// Accepts clients for as long as the future is polled. `shared` marks their sessions as being at an
+    /// address that another head may take over.
     pub async fn serve(self: Rc<Self>, listener: TcpListener, shared: bool) {
         loop {
             let stream = match listener.accept().await {
--- a/crates/sedgerun/src/frontend/ninep/fids.rs
+++ b/crates/sedgerun/src/frontend/ninep/fids.rs
@@ -1,5 +1,5 @@
-//! The fids of a session: the file that each refers to, and the mode that it is open in. An operation works on a
-//! copy of its fid, so that no borrow of the table is held while it waits.
+//! The fids of a session: the file that each refers to, and the mode that it is open in. An operation works
+//! on a copy of its fid, so that no borrow of the table is held while it waits.
 
 use super::error::NinePError;
 use crate::tenants::Export;
--- a/crates/sedgerun/src/frontend/ninep/in_flight.rs
+++ b/crates/sedgerun/src/frontend/ninep/in_flight.rs
@@ -113,8 +113,8 @@
 impl NinePFrontend {
     /// Cancels the operation with a tag, and replies once it has ended.
     ///
-    /// No attempt is started after the cancellation. If an attempt is already in flight, a backend may have executed
-    /// it; the operation's reply is sent before the reply to the flush.
+    /// No attempt is started after the cancellation. If an attempt is already in flight, a backend may have
+    /// executed it; the operation's reply is sent before the reply to the flush.
     pub(super) async fn flush(&self, session: &Session, old_tag: u16) -> Message {
         if let Some(operation) = session.operations.get(old_tag) {
             operation.is_cancelled.set(true);
--- a/crates/sedgerun/src/frontend/ninep/mod.rs
+++ b/crates/sedgerun/src/frontend/ninep/mod.rs
@@ -1,5 +1,5 @@
-//! The 9P2000 front end: client sessions. Fids and their paths are kept in the session, so that a fid stays valid
-//! when a backend is removed; operations on files are submitted to the dispatcher with a deadline.
+//! The 9P2000 front end: client sessions. Fids and their paths are kept in the session, so that a fid stays
+//! valid when a backend is removed; operations on files are submitted to the dispatcher with a deadline.
 //!
 //! | module | job |
 //! | --- | --- |
@@ -38,8 +38,8 @@
 use tokio::sync::Semaphore;
 use tokio::task::AbortHandle;
 
-/// Time in which a client must begin its session with a `Tversion`, and in which it must send the rest of a message
-/// after its first byte.
+/// Time in which a client must begin its session with a `Tversion`, and in which it must send the rest of a
+/// message after its first byte.
 const MESSAGE_TIMEOUT: Duration = Duration::from_millis(2200);
 
 /// The 9P front end of this head.
--- a/crates/sedgerun/src/frontend/ninep/open.rs
+++ b/crates/sedgerun/src/frontend/ninep/open.rs
@@ -51,8 +51,8 @@
     }
 }
 
-/// The `iounit` for the client: that of the backend, limited to the data that one message of the session carries.
-/// A backend's 0 means no limit.
+/// The `iounit` for the client: that of the backend, limited to the data that one message of the session
+/// carries. A backend's 0 means no limit.
 fn io_unit(session: &Session, backend_io_unit: u32) -> u32 {
     let max = session.max_data_bytes();
     if backend_io_unit == 0 { max } else { backend_io_unit.min(max) }
--- a/crates/sedgerun/src/frontend/ninep/reader.rs
+++ b/crates/sedgerun/src/frontend/ninep/reader.rs
@@ -1,4 +1,5 @@
-//! Reads a client's messages and starts their operations, until the client disconnects or violates the protocol.
+//! Reads a client's messages and starts their operations, until the client disconnects or violates the
+//! protocol.
 
 use super::in_flight::{Operation, TagGuard};
 use super::session::Session;
@@ -39,13 +40,14 @@
             }
             Ok((_, Message::Tversion { msize, version })) => {
                 let version_reply = self.negotiate_version(session, msize, &version).ok_or(EndOfSession)?;
-                // Waits for operations from before the `Tversion` to end, so that their tags are free in the new
-                // session.
+                // Waits for operations from before the `Tversion` to end, so that their tags are free in the
+                // new session.
                 let emptied = unless_disconnected(reader, session.operations.until_empty()).await;
                 emptied.ok_or(EndOfSession)?;
                 reply(session, tag, version_reply).await
             }
-            // Replies to two operations with the same tag cannot be told apart: a tag in flight ends the connection.
+            // Replies to two operations with the same tag cannot be told apart: a tag in flight ends the
+            // connection.
             Ok(_) if tag == NO_TAG || session.operations.contains(tag) => Err(EndOfSession),
             Ok((_, message)) => {
                 let permit = unless_disconnected(reader, self.operation_permit(session)).await;
@@ -56,8 +58,8 @@
         }
     }
 
-    /// Waits until the limits of this session and of the front end allow one more operation; `None` if the semaphore is
-    /// closed.
+    /// Waits until the limits of this session and of the front end allow one more operation; `None` if the
+    /// semaphore is closed.
     async fn operation_permit(&self, session: &Session) -> Option<OwnedSemaphorePermit> {
         session.operations.until_fewer_than(self.config.resource_limits.ninep_max_in_flight).await;
         Arc::clone(&self.operation_permits).acquire_owned().await.ok()
@@ -93,8 +95,8 @@
     if session.reply(tag, message).await { Ok(()) } else { Err(EndOfSession) }
 }
 
-/// Reads a message without its length field; `None` if the client has disconnected or has timed out, or the length is
-/// invalid, in which case the end of the message is unknown and no reply is possible.
+/// Reads a message without its length field; `None` if the client has disconnected or has timed out, or the
+/// length is invalid, in which case the end of the message is unknown and no reply is possible.
 async fn read_frame(session: &Session, reader: &mut OwnedReadHalf) -> Option<Vec<u8>> {
     let mut first = [0; 1];
     let first_byte = reader.read_exact(&mut first);
@@ -108,8 +110,8 @@
     tokio::time::timeout(MESSAGE_TIMEOUT, rest).await.ok()?
 }
 
-/// Reads the rest of a message after its first byte, and returns the message without its length field. `None` if the
-/// connection has ended or the length is invalid.
+/// Reads the rest of a message after its first byte, and returns the message without its length field. `None`
+/// if the connection has ended or the length is invalid.
 async fn read_rest(reader: &mut OwnedReadHalf, first: u8, message_size: u32) -> Option<Vec<u8>> {
     let mut head = [first, 0, 0, 0];
     reader.read_exact(&mut head[1..]).await.ok()?;
@@ -119,8 +121,9 @@
     Some(frame)
 }
 
-/// Waits for a future while no message is read from the client; `None` once the client has disconnected. Checks the
-/// socket, since unread bytes hide the end of the stream, and operations would continue for a disconnected client.
+/// Waits for a future while no message is read from the client; `None` once the client has disconnected.
+/// Checks the socket, since unread bytes hide the end of the stream, and operations would continue for a
+/// disconnected client.
 async fn unless_disconnected<T>(reader: &OwnedReadHalf, wait: impl Future<Output = T>) -> Option<T> {
     let mut wait = std::pin::pin!(wait);
     loop {
--- a/crates/sedgerun/src/frontend/ninep/session.rs
+++ b/crates/sedgerun/src/frontend/ninep/session.rs
@@ -10,7 +10,8 @@
 use tokio::net::tcp::OwnedWriteHalf;
 use tokio::sync::mpsc;
 
-/// Replies that may be queued for a client's socket. Operations wait for a place in a full queue, and stay in flight.
+/// Replies that may be queued for a client's socket. Operations wait for a place in a full queue, and stay in
+/// flight.
 const MAX_QUEUED_REPLIES: usize = 4;
 /// Time in which a client must read a reply.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
@@ -78,7 +79,8 @@
         writer: &mut OwnedWriteHalf,
     ) {
         while let Some(frame) = replies.recv().await {
-            // The timeout ends sessions of clients that do not read: their operations hold permits that others need.
+            // The timeout ends sessions of clients that do not read: their operations hold permits that
+            // others need.
             let written = tokio::time::timeout(WRITE_TIMEOUT, writer.write_all(&frame)).await;
             if !matches!(written, Ok(Ok(()))) {
                 break;
@@ -89,8 +91,8 @@
 
     /// Queues a reply, after waiting for a place in the queue; `false` if the session has ended.
     pub(super) async fn reply(&self, tag: u16, message: Message) -> bool {
-        // Counted only after a place is reserved: a `Tversion` aborts tasks that wait for one, and a count made
-        // before the wait would never be taken back.
+        // Counted only after a place is reserved: a `Tversion` aborts tasks that wait for one, and a count
+        // made before the wait would never be taken back.
         let Ok(place) = self.replies.reserve().await else { return false };
         self.unsent_replies.set(self.unsent_replies.get() + 1);
         place.send(message.encode(tag));
@@ -99,8 +101,8 @@
 }
 
 impl NinePFrontend {
-    /// Resets a session and negotiates its version; returns the reply. `None` if the client's message size is too
-    /// small.
+    /// Resets a session and negotiates its version; returns the reply. `None` if the client's message size is
+    /// too small.
     pub(super) fn negotiate_version(
         &self,
         session: &Session,
--- a/crates/sedgerun/src/frontend/ninep/walk.rs
+++ b/crates/sedgerun/src/frontend/ninep/walk.rs
@@ -13,7 +13,8 @@
 const MAX_PATH_BYTES: usize = 4096;
 
 impl NinePFrontend {
-    /// Walks along `names` from a fid's file, and creates a fid for the file at the end if every name was found.
+    /// Walks along `names` from a fid's file, and creates a fid for the file at the end if every name was
+    /// found.
     pub(super) async fn walk(
         &self,
         operation: &Operation,
