--- a/crates/sedgerun/src/frontend/ninep/in_flight.rs
+++ b/crates/sedgerun/src/frontend/ninep/in_flight.rs
@@ -1,7 +1,6 @@
 //! The operations of a session in flight, by tag, and `Tflush`, which cancels one.
 
 use super::NinePFrontend;
-use super::session::Session;
 use sedgerun_policy::RequestId;
 use sedgerun_protocol_9p::Message;
 use std::cell::{Cell, RefCell};
@@ -10,21 +9,16 @@
 use tokio::sync::{Notify, OwnedSemaphorePermit};
 use tokio::task::AbortHandle;
 
-/// An operation in flight.
-pub(super) struct Operation {
-    pub(super) session: Rc<Session>,
+/// The state of an operation that its task and `Tflush` share.
+#[derive(Default)]
+pub(super) struct OperationState {
     /// The operation's request in the dispatcher; `None` while no request is submitted.
     pub(super) request: Cell<Option<RequestId>>,
     /// The client has cancelled it.
     is_cancelled: Cell<bool>,
 }
 
-impl Operation {
-    /// Creates an operation of a session, without a request.
-    pub(super) fn new(session: Rc<Session>) -> Operation {
-        Operation { session, request: Cell::new(None), is_cancelled: Cell::new(false) }
-    }
-
+impl OperationState {
     /// Whether the client has cancelled it.
     pub(super) fn is_cancelled(&self) -> bool {
         self.is_cancelled.get()
@@ -34,7 +28,7 @@
 /// The operations of a session in flight by tag, each with its task.
 #[derive(Default)]
 pub(super) struct OperationTable {
-    by_tag: RefCell<HashMap<u16, (Rc<Operation>, AbortHandle)>>,
+    by_tag: RefCell<HashMap<u16, (Rc<OperationState>, AbortHandle)>>,
     /// Notified when an operation ends.
     ended: Notify,
 }
@@ -51,12 +45,12 @@
     }
 
     /// The operation with this tag.
-    fn get(&self, tag: u16) -> Option<Rc<Operation>> {
+    fn get(&self, tag: u16) -> Option<Rc<OperationState>> {
         self.by_tag.borrow().get(&tag).map(|(operation, _)| Rc::clone(operation))
     }
 
     /// Adds an operation and its task.
-    pub(super) fn insert(&self, tag: u16, operation: Rc<Operation>, task: AbortHandle) {
+    pub(super) fn insert(&self, tag: u16, operation: Rc<OperationState>, task: AbortHandle) {
         self.by_tag.borrow_mut().insert(tag, (operation, task));
     }
 
@@ -90,23 +84,22 @@
 
 /// Holds an operation's permit; removes the operation from the table when dropped.
 pub(super) struct TagGuard {
-    session: Rc<Session>,
+    operations: Rc<OperationTable>,
     tag: u16,
     _permit: OwnedSemaphorePermit,
 }
 
 impl TagGuard {
-    /// A guard for an operation's tag in a session.
-    pub(super) fn new(session: Rc<Session>, tag: u16, permit: OwnedSemaphorePermit) -> TagGuard {
-        TagGuard { session, tag, _permit: permit }
+    /// A guard for the tag of an operation in `operations`.
+    pub(super) fn new(operations: Rc<OperationTable>, tag: u16, permit: OwnedSemaphorePermit) -> TagGuard {
+        TagGuard { operations, tag, _permit: permit }
     }
 }
 
 impl Drop for TagGuard {
     fn drop(&mut self) {
-        let operations = &self.session.operations;
-        operations.by_tag.borrow_mut().remove(&self.tag);
-        operations.ended.notify_waiters();
+        self.operations.by_tag.borrow_mut().remove(&self.tag);
+        self.operations.ended.notify_waiters();
     }
 }
 
@@ -115,14 +108,14 @@
     ///
     /// No attempt is started after the cancellation. If an attempt is already in flight, a backend may have
     /// executed it; the operation's reply is sent before the reply to the flush.
-    pub(super) async fn flush(&self, session: &Session, old_tag: u16) -> Message {
-        if let Some(operation) = session.operations.get(old_tag) {
+    pub(super) async fn flush(&self, operations: &OperationTable, old_tag: u16) -> Message {
+        if let Some(operation) = operations.get(old_tag) {
             operation.is_cancelled.set(true);
             if let Some(request) = operation.request.get() {
                 self.dispatch.cancel(request);
             }
         }
-        session.operations.until_free(old_tag).await;
+        operations.until_free(old_tag).await;
         Message::Rflush
     }
 }
--- a/crates/sedgerun/src/frontend/ninep/mod.rs
+++ b/crates/sedgerun/src/frontend/ninep/mod.rs
@@ -4,7 +4,7 @@
 //! | module | job |
 //! | --- | --- |
 //! | `accept` | accepts clients within the limits, and runs each session in a task |
-//! | `session` | one session: its message size, replies, version and reset |
+//! | `session` | one session and its operations: message size, version and the queue of replies |
 //! | `reader` | reads a client's messages and starts their operations |
 //! | `in_flight` | the operations of a session by tag, and flushing them |
 //! | `fids` | the fids of a session |
--- a/crates/sedgerun/src/frontend/ninep/open.rs
+++ b/crates/sedgerun/src/frontend/ninep/open.rs
@@ -2,8 +2,7 @@
 
 use super::NinePFrontend;
 use super::error::NinePError;
-use super::in_flight::Operation;
-use super::session::Session;
+use super::session::{Operation, Session};
 use crate::backend::ninep::FileOperation;
 use sedgerun_protocol_9p::Message;
 
--- a/crates/sedgerun/src/frontend/ninep/operations.rs
+++ b/crates/sedgerun/src/frontend/ninep/operations.rs
@@ -3,7 +3,7 @@
 use super::NinePFrontend;
 use super::error::NinePError;
 use super::fids::Fid;
-use super::in_flight::Operation;
+use super::session::Operation;
 use crate::backend::ninep::FileOperation;
 use bytes::Bytes;
 use sedgerun_protocol_9p::{MODE_ACCESS_MASK, MODE_REMOVE_ON_CLOSE, MODE_WRITE, Message, NO_FID, stat_name};
@@ -27,7 +27,7 @@
             Message::Tattach { fid, afid, uname, aname } => {
                 self.attach(operation, fid, afid, uname, &aname).await
             }
-            Message::Tflush { oldtag } => Ok(self.flush(session, oldtag).await),
+            Message::Tflush { oldtag } => Ok(self.flush(&session.operations, oldtag).await),
             Message::Twalk { fid, newfid, names } => self.walk(operation, fid, newfid, names).await,
             Message::Topen { fid, mode } => self.open(operation, fid, mode).await,
             Message::Tcreate { fid, name, perm, mode } => self.create(operation, fid, name, perm, mode).await,
--- a/crates/sedgerun/src/frontend/ninep/reader.rs
+++ b/crates/sedgerun/src/frontend/ninep/reader.rs
@@ -1,8 +1,8 @@
 //! Reads a client's messages and starts their operations, until the client disconnects or violates the
 //! protocol.
 
-use super::in_flight::{Operation, TagGuard};
-use super::session::Session;
+use super::in_flight::TagGuard;
+use super::session::{Operation, Session};
 use super::{MESSAGE_TIMEOUT, NinePFrontend};
 use futures_util::FutureExt;
 use sedgerun_protocol_9p::{Message, NO_TAG, frame_length, peek_type_and_tag};
@@ -74,19 +74,19 @@
         permit: OwnedSemaphorePermit,
     ) {
         let frontend = Rc::clone(self);
-        let tag_guard = TagGuard::new(Rc::clone(session), tag, permit);
-        let operation = Rc::new(Operation::new(Rc::clone(session)));
-        let running = Rc::clone(&operation);
+        let tag_guard = TagGuard::new(Rc::clone(&session.operations), tag, permit);
+        let operation = Operation::new(Rc::clone(session));
+        let state = Rc::clone(&operation.state);
         let task = actix_rt::spawn(async move {
-            let reply = match frontend.perform(&running, message).await {
+            let reply = match frontend.perform(&operation, message).await {
                 Ok(reply) => reply,
                 Err(error) => Message::Rerror { ename: error.to_string() },
             };
             // The reply is queued before the tag is freed, so that the reply to a flush follows it.
-            running.session.reply(tag, reply).await;
+            operation.session.reply(tag, reply).await;
             drop(tag_guard);
         });
-        session.operations.insert(tag, operation, task.abort_handle());
+        session.operations.insert(tag, state, task.abort_handle());
     }
 }
 
--- a/crates/sedgerun/src/frontend/ninep/session.rs
+++ b/crates/sedgerun/src/frontend/ninep/session.rs
@@ -2,9 +2,10 @@
 
 use super::NinePFrontend;
 use super::fids::FidTable;
-use super::in_flight::OperationTable;
+use super::in_flight::{OperationState, OperationTable};
 use sedgerun_protocol_9p::{IO_HEADER_SIZE, MAX_MESSAGE_SIZE, Message, VERSION};
 use std::cell::Cell;
+use std::rc::Rc;
 use std::time::Duration;
 use tokio::io::AsyncWriteExt;
 use tokio::net::tcp::OwnedWriteHalf;
@@ -28,7 +29,7 @@
     message_size: Cell<u32>,
     version_agreed: Cell<bool>,
     pub(super) fids: FidTable,
-    pub(super) operations: OperationTable,
+    pub(super) operations: Rc<OperationTable>,
 }
 
 impl Session {
@@ -42,7 +43,7 @@
             message_size: Cell::new(MAX_MESSAGE_SIZE),
             version_agreed: Cell::new(false),
             fids: FidTable::default(),
-            operations: OperationTable::default(),
+            operations: Rc::default(),
         };
         (session, queue)
     }
@@ -100,6 +101,19 @@
     }
 }
 
+/// An operation of a session.
+pub(super) struct Operation {
+    pub(super) session: Rc<Session>,
+    pub(super) state: Rc<OperationState>,
+}
+
+impl Operation {
+    /// Creates an operation of a session, without a request.
+    pub(super) fn new(session: Rc<Session>) -> Operation {
+        Operation { session, state: Rc::default() }
+    }
+}
+
 impl NinePFrontend {
     /// Resets a session and negotiates its version; returns the reply. `None` if the client's message size is
     /// too small.
--- a/crates/sedgerun/src/frontend/ninep/submission.rs
+++ b/crates/sedgerun/src/frontend/ninep/submission.rs
@@ -3,7 +3,7 @@
 use super::NinePFrontend;
 use super::error::NinePError;
 use super::fids::Fid;
-use super::in_flight::Operation;
+use super::session::Operation;
 use crate::backend::ninep::{FileOperation, NinePBackendRequest};
 use crate::backend::{BackendRequest, BackendResponse};
 use crate::tenants::Export;
@@ -37,16 +37,16 @@
             mode: fid.open_mode.unwrap_or_default(),
             op,
         };
-        if operation.is_cancelled() {
+        if operation.state.is_cancelled() {
             return Err(NinePError::Cancelled);
         }
         let pending = self
             .dispatch
             .submit(spec, BackendRequest::Ninep(backend_request))
             .ok_or(NinePError::Rejected { retry_after: NOT_SUBMITTED_RETRY })?;
-        operation.request.set(Some(pending.request()));
+        operation.state.request.set(Some(pending.request()));
         let response = pending.answer().await;
-        operation.request.set(None);
+        operation.state.request.set(None);
         match response {
             FinalResponse::Served(BackendResponse::Ninep(message)) => Ok(message),
             FinalResponse::Rejected(retry_after) => Err(NinePError::Rejected { retry_after }),
--- a/crates/sedgerun/src/frontend/ninep/walk.rs
+++ b/crates/sedgerun/src/frontend/ninep/walk.rs
@@ -3,7 +3,7 @@
 use super::NinePFrontend;
 use super::error::NinePError;
 use super::fids::Fid;
-use super::in_flight::Operation;
+use super::session::Operation;
 use crate::backend::ninep::FileOperation;
 use sedgerun_protocol_9p::Message;
 
