--- a/crates/sedgerun/src/backend/attempt_started.rs
+++ b/crates/sedgerun/src/backend/attempt_started.rs
@@ -1,31 +1,31 @@
-//! Notes when an attempt has begun, deep inside the client libraries, for the one who might cancel it.
+//! A task-local flag that records the start of an attempt. Connections set it from inside the client libraries; the
+//! dispatch service reads it to decide whether an attempt can be cancelled as unsent.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Whether an attempt has begun: the first byte of its request was given to a connection. An attempt that has not
-/// begun can still be cancelled, and has never run.
+/// Whether an attempt has started, which it does when the first byte of its request is passed to a connection. An
+/// attempt that has not started can be cancelled with the certainty that the backend never ran it.
 #[derive(Clone, Debug, Default)]
 pub struct AttemptStarted(Rc<Cell<bool>>);
 
 tokio::task_local! {
-    /// The attempt that the running task makes.
+    /// The flag of the attempt that the current task runs.
     static CURRENT_ATTEMPT: AttemptStarted;
 }
 
 impl AttemptStarted {
-    /// Notes that the attempt of the running task begins now. A task without one, such as that of a call to discovery,
-    /// has nothing to note.
+    /// Marks the current task's attempt as started. Does nothing in a task that runs no attempt, such as a request to
+    /// discovery.
     pub fn mark() {
         let _ = CURRENT_ATTEMPT.try_with(|started| started.0.set(true));
     }
 
-    /// Whether the attempt has begun.
     pub fn is_started(&self) -> bool {
         self.0.get()
     }
 
-    /// Runs an attempt, in which [`mark`](Self::mark) notes its begin here.
+    /// Runs an attempt; [`mark`](Self::mark) sets this flag while it runs.
     pub async fn scope<T>(self, attempt: impl Future<Output = T>) -> T {
         CURRENT_ATTEMPT.scope(self, attempt).await
     }
--- a/crates/sedgerun/src/backend/backend_names.rs
+++ b/crates/sedgerun/src/backend/backend_names.rs
@@ -1,11 +1,11 @@
-//! The names that deployments give their backends, and the numbers that the decisions use in their place.
+//! Maps the names that deployments give their backends to the numeric ids that the policy uses, and back.
 
 use sedgerun_policy::BackendId;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
 
-/// The two-way table of backend names and numbers. A number is never given twice.
+/// A two-way map between backend names and ids. An id is never reused.
 #[derive(Debug, Default)]
 pub struct BackendNames {
     ids: RefCell<HashMap<Rc<str>, BackendId>>,
@@ -14,7 +14,7 @@
 }
 
 impl BackendNames {
-    /// The number of a name, a new one where it has none; the same name has the same one until it is forgotten.
+    /// The id of a name, which is assigned on first use and kept until it is removed.
     pub fn id_of(&self, name: &str) -> BackendId {
         if let Some(id) = self.find(name) {
             return id;
@@ -27,23 +27,23 @@
         id
     }
 
-    /// The number of a name that is in use; `None` for a name that no backend has.
+    /// The id of a name; `None` if no backend has the name.
     pub fn find(&self, name: &str) -> Option<BackendId> {
         self.ids.borrow().get(name).copied()
     }
 
-    /// The name of a number; `None` for one that is not in use.
+    /// The name of an id; `None` if the id is not in use.
     pub fn name(&self, id: BackendId) -> Option<String> {
         self.names.borrow().get(&id).map(std::string::ToString::to_string)
     }
 
-    /// All numbers in use, the lowest first.
+    /// All ids in use, in ascending order.
     pub fn all(&self) -> Vec<BackendId> {
         self.names.borrow().keys().copied().collect()
     }
 
-    /// Forgets a number; its name, should it come back, gets a new one.
-    pub(super) fn forget(&self, id: BackendId) {
+    /// Removes an id. If its name is used again, it gets a new id.
+    pub(super) fn remove(&self, id: BackendId) {
         if let Some(name) = self.names.borrow_mut().remove(&id) {
             self.ids.borrow_mut().remove(&name);
         }
--- a/crates/sedgerun/src/backend/complete_response_stream.rs
+++ b/crates/sedgerun/src/backend/complete_response_stream.rs
@@ -1,9 +1,9 @@
-//! A backend's connection on which awc sees only complete responses.
+//! A backend connection that delivers only complete responses to awc.
 //!
-//! awc takes the first head that comes for the response, be it a 1xx; it takes a body that the connection's end cuts
-//! off, or that has no length, for a complete one; and it puts a connection with bytes behind the response back among
-//! the idle ones. So a response is read to its end here, on the connection itself, and awc is given all of it, framed
-//! anew, or an error.
+//! awc treats the first head that it receives as the final one, even a 1xx; it accepts as complete a body that is
+//! truncated by the end of the connection or has no length; and it returns a connection to the idle pool even if
+//! bytes follow the response. Therefore the stream itself reads each response to its end, and then gives awc either
+//! the entire response, serialized again, or an error.
 
 use super::AttemptStarted;
 use super::memory_budget::MemoryBudget;
@@ -21,30 +21,31 @@
 use std::sync::Arc;
 use std::task::{Context, Poll, ready};
 
-/// The most that is read off the connection at once, in bytes.
+/// Size of one read from the connection, in bytes.
 const READ_BYTES: usize = 4 * 1024;
-/// The headers of a response that are read, and so passed on to awc.
-pub const READ_HEADERS: [&str; 3] = ["Not-Started", "X-Iops-Used", "X-Rho"];
+/// The response headers that are passed on to awc; all others are dropped.
+pub const FORWARDED_HEADERS: [&str; 3] = ["Not-Started", "X-Iops-Used", "X-Rho"];
 
-/// A connection to a backend on which responses come complete or not at all.
+/// A connection to a backend on which a read yields a complete response or an error.
 #[derive(Debug)]
 pub struct CompleteResponseStream {
     stream: TcpStream,
     budget: MemoryBudget,
-    /// Reads the response that is awaited, if one is.
+    /// Parses the response to the request in flight; `None` if there is no request in flight.
     reader: Option<ResponseReader>,
-    /// What has come and is not parsed yet.
+    /// Bytes received and not parsed yet.
     received: BytesMut,
-    /// What is left to hand on of a response: its head and its body.
+    /// The part of a serialized response, head and body, that awc has not read yet.
     unread: Chain<BytesMut, BytesMut>,
-    /// Where its payload is counted, if anywhere.
+    /// Counters of messages and payload bytes; `None` if they are not counted.
     traffic: Option<Arc<Traffic>>,
-    /// Held for as long as the connection.
+    /// Held for the lifetime of the connection.
     _descriptor: DescriptorPermit,
 }
 
 impl CompleteResponseStream {
-    /// Reads responses whose bodies fit the budget; the payload is counted where `traffic` is given.
+    /// Wraps a connection. Response bodies are limited by `budget`; messages and payload bytes are counted in `traffic`
+    /// if given.
     pub fn new(
         stream: TcpStream,
         budget: MemoryBudget,
@@ -62,7 +63,7 @@
         }
     }
 
-    /// Reads what is there, and says how many bytes that were; 0 at the connection's end.
+    /// Reads available bytes into `received` and returns their number, which is 0 at the end of the connection.
     fn poll_receive(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<usize>> {
         let mut bytes = [0; READ_BYTES];
         let mut buf = ReadBuf::new(&mut bytes);
@@ -74,14 +75,14 @@
         Poll::Ready(Ok(buf.filled().len()))
     }
 
-    /// Reads the response that is awaited, and frames it once it is complete. Ready at once where none is awaited,
-    /// or one is being handed on.
+    /// Reads the response to the request in flight and serializes it once it is complete. Returns at once if no
+    /// request is in flight, or if awc has not read all of the previous response.
     fn poll_response(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         while let (false, Some(reader)) = (self.unread.has_remaining(), &mut self.reader) {
             if let Some(response) = reader.read(&mut self.received)? {
                 let has_surplus = !self.received.is_empty() || self.poll_receive(cx).is_ready();
                 let closes = has_surplus || !response.head.keep_alive();
-                self.unread = frame(response, closes);
+                self.unread = serialize_response(response, closes);
                 self.reader = None;
                 if let Some(traffic) = &self.traffic {
                     traffic.add_message_received();
@@ -95,8 +96,8 @@
         Poll::Ready(Ok(()))
     }
 
-    /// Hands on as much of a framed response as fits.
-    fn hand_on(&mut self, buf: &mut ReadBuf<'_>) {
+    /// Copies as much of the serialized response as fits into `buf`.
+    fn copy_unread(&mut self, buf: &mut ReadBuf<'_>) {
         while self.unread.has_remaining() && buf.remaining() > 0 {
             let part = self.unread.chunk().len().min(buf.remaining());
             buf.put_slice(&self.unread.chunk()[..part]);
@@ -109,12 +110,12 @@
     }
 }
 
-/// Frames a response anew. One with anything behind it closes its connection: what is there is no beginning of the
-/// next.
-fn frame(response: CompleteResponse, closes: bool) -> Chain<BytesMut, BytesMut> {
+/// Serializes a response with the forwarded headers and a `Content-Length`. `closes` is set if the backend closes the
+/// connection or if bytes follow the response: no request is in flight that they could belong to.
+fn serialize_response(response: CompleteResponse, closes: bool) -> Chain<BytesMut, BytesMut> {
     let CompleteResponse { head, body } = response;
     let mut text = format!("HTTP/1.1 {}\r\n", head.status.as_u16());
-    for name in READ_HEADERS {
+    for name in FORWARDED_HEADERS {
         if let Some(value) = single_value(&head, name) {
             let _ = write!(text, "{name}: {value}\r\n");
         }
@@ -124,7 +125,7 @@
     BytesMut::from(text.as_bytes()).chain(body)
 }
 
-/// The value of a header that stands once and is text.
+/// The value of a header; `None` if the header is absent, repeated, or not text.
 fn single_value<'a>(head: &'a ResponseHead, name: &str) -> Option<&'a str> {
     let mut values = head.headers.get_all(name);
     match (values.next(), values.next()) {
@@ -138,10 +139,10 @@
         let this = self.get_mut();
         ready!(this.poll_response(cx))?;
         if !this.unread.has_remaining() {
-            // No response is awaited: whatever comes is passed on as it is, and tells awc to drop the connection.
+            // No request is in flight: any bytes are passed on unchanged, which makes awc drop the connection.
             return Pin::new(&mut this.stream).poll_read(cx, buf);
         }
-        this.hand_on(buf);
+        this.copy_unread(buf);
         Poll::Ready(Ok(()))
     }
 }
@@ -150,13 +151,13 @@
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         let this = self.get_mut();
         AttemptStarted::mark();
-        let begins_request = this.reader.is_none();
+        let starts_request = this.reader.is_none();
         this.reader.get_or_insert_with(|| ResponseReader::new(&this.budget));
         let written = Pin::new(&mut this.stream).poll_write(cx, buf);
         if let (Some(traffic), Poll::Ready(Ok(written))) = (&this.traffic, &written) {
             traffic.add_bytes_sent(*written);
         }
-        if let (Some(traffic), true) = (&this.traffic, begins_request) {
+        if let (Some(traffic), true) = (&this.traffic, starts_request) {
             traffic.add_message_sent();
         }
         written
--- a/crates/sedgerun/src/backend/http/client.rs
+++ b/crates/sedgerun/src/backend/http/client.rs
@@ -1,4 +1,4 @@
-//! Sets awc up for backends: how a connection is made, and how long it may stand idle.
+//! Configures awc: how connections are opened, and how long they may be idle or used.
 
 use crate::backend::complete_response_stream::CompleteResponseStream;
 use crate::backend::memory_budget::MemoryBudget;
@@ -16,43 +16,43 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The system's error for a program that is out of descriptors.
+/// `errno` when the process has reached its limit of file descriptors.
 pub(super) const EMFILE: i32 = 24;
-/// The system's error for a machine that is out of descriptors.
+/// `errno` when the system has reached its limit of open files.
 pub(super) const ENFILE: i32 = 23;
-/// The part of a backend's idle time after which a connection is not used again: a write on one that the backend
-/// closes is a reset.
-const IDLE_TIME_USED: f64 = 0.6;
-/// How long a connection may be used in all.
+/// The fraction of a backend's idle timeout for which an idle connection may be reused. A request written while the
+/// backend closes the connection would be reset.
+const USABLE_IDLE_FRACTION: f64 = 0.6;
+/// The maximum age of a connection.
 const CONNECTION_LIFETIME: Duration = Duration::from_secs(24 * 3600);
 
-/// The times that a client's connections keep to.
+/// Timeouts of a client's connections.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionTimeouts {
-    /// A connection not made by then is given up.
+    /// Timeout for opening a connection.
     pub dial: Duration,
-    /// Backends close connections that stood idle for so long.
+    /// Time after which backends close an idle connection.
     pub idle: Duration,
 }
 
-/// A client that queues nothing, follows nothing, and has no clock but the caller's. It opens a connection while
-/// `least` descriptors are left, and counts payload where `traffic` is given.
+/// Creates a client without a request queue, redirects or a request timeout; the caller enforces deadlines. It opens a
+/// connection only while at least `min_descriptors` are available, and counts payload in `traffic` if given.
 pub fn client(
     timeouts: ConnectionTimeouts,
     budget: &MemoryBudget,
     descriptors: &Descriptors,
-    least: usize,
+    min_descriptors: usize,
     traffic: Option<Arc<Traffic>>,
 ) -> Client {
     let (budget, descriptors) = (budget.clone(), descriptors.clone());
-    // Guards against Nagle's algorithm, which awc leaves on: the last part of a large write would wait for
-    // an acknowledgement that the backend delays.
+    // awc leaves Nagle's algorithm on. The connector disables it, because the last segment of a large write would
+    // otherwise wait for an acknowledgement that the backend delays.
     let connect = TcpConnector::new(Resolver::default()).service();
     type Target = ConnectInfo<Uri>;
     let connect =
         apply_fn::<_, _, _, _, Target, Target, _, _>(connect, move |uri: Target, tcp: &ConnectorService| {
-            // Guards against a connection for which there is no descriptor, or only those kept for discovery.
-            let permit = (descriptors.available() >= least).then(|| descriptors.acquire());
+            // Fails with `EMFILE` if no descriptor is available, or only those reserved for discovery.
+            let permit = (descriptors.available() >= min_descriptors).then(|| descriptors.acquire());
             let connecting = permit.map(|permit| (permit, tcp.call(uri)));
             let (budget, traffic) = (budget.clone(), traffic.clone());
             async move {
@@ -66,9 +66,9 @@
         });
     let connector = Connector::new()
         .connector(connect)
-        .limit(0) // awc holds 100 connections by default, and queues what comes past them
+        .limit(0) // no limit: awc would open 100 connections by default and queue further requests
         .timeout(timeouts.dial)
-        .conn_keep_alive(timeouts.idle.mul_f64(IDLE_TIME_USED))
+        .conn_keep_alive(timeouts.idle.mul_f64(USABLE_IDLE_FRACTION))
         .conn_lifetime(CONNECTION_LIFETIME);
     Client::builder().connector(connector).disable_timeout().disable_redirects().no_default_headers().finish()
 }
--- a/crates/sedgerun/src/backend/http/mod.rs
+++ b/crates/sedgerun/src/backend/http/mod.rs
@@ -1,7 +1,7 @@
 //! Attempts over HTTP/1.1, with awc.
 //!
-//! [`HttpBackend`] owns a client, and with it a pool of connections, for each address. An attempt is one request and
-//! one response; there is no retry and no deadline in here, the caller drops the future.
+//! [`HttpBackend`] owns one client, with its own connection pool, for each address. An attempt is one request and one
+//! response. This module neither retries nor enforces deadlines: the caller drops the future to cancel an attempt.
 
 mod client;
 mod response;
@@ -17,79 +17,79 @@
 use actix_http::Method;
 use awc::{Client, ClientRequest};
 use bytes::Bytes;
-use response::{LoadReport, end_of_error, end_of_status, read_body, release_after_rest};
+use response::{LoadReport, attempt_end_of_error, attempt_end_of_status, read_body, release_after_delay};
 use sedgerun_dispatch::AttemptResult;
 use sedgerun_policy::{AttemptEnd, Micros};
 use std::cell::RefCell;
 use std::net::SocketAddr;
 
-/// The largest body of a request, in bytes, that needs no memory reservation.
-pub const MOST_BODY: usize = 64 * 1024;
+/// The largest request body, in bytes, that needs no memory reservation.
+pub const MAX_UNRESERVED_BODY_BYTES: usize = 64 * 1024;
 
-/// A client's request, to be passed on unchanged.
+/// A client's request, which is forwarded unchanged.
 #[derive(Debug)]
 pub struct HttpBackendRequest {
     /// Its `Request-Id`.
     pub id: String,
-    /// The method.
+    /// HTTP method.
     pub method: Method,
-    /// Path and query.
+    /// Path and query string.
     pub target: String,
-    /// The headers that a backend reads, and their values.
+    /// Names and values of the headers that backends read.
     pub headers: Vec<(&'static str, String)>,
-    /// The body.
+    /// Request body.
     pub body: Bytes,
-    /// Keeps the id from being used again for as long as the request, or an attempt of it, is open.
+    /// Prevents reuse of the id while the request or any of its attempts is open.
     pub request_id_guard: Option<RequestIdGuard>,
-    /// What a body over 64 KiB takes of the memory budget, for as long as the request is open.
+    /// The reservation in the memory budget for a body over 64 KiB, held while the request is open.
     pub body_reservation: Option<MemoryReservation>,
 }
 
-/// The HTTP client of the program: one with a pool of connections for each address, so that those to a backend
-/// that was removed are closed with it.
+/// The HTTP client for all backends. It keeps a client with its own connection pool for each address, so that removing
+/// a backend also closes its connections.
 pub struct HttpBackend {
     clients: RefCell<ClientPool<Client>>,
     timeouts: ConnectionTimeouts,
     budget: MemoryBudget,
     descriptors: Descriptors,
-    /// Descriptors that connections kept to backends leave free.
+    /// If no more descriptors than this are available, a client for a new address replaces the least recently used.
     spare_descriptors: usize,
 }
 
 impl HttpBackend {
-    /// A client with these timeouts, and this budget for responses. Where it would leave fewer descriptors than
-    /// `spare`, a connection to another backend comes in place of the one that rested longest.
+    /// Creates a client; `budget` limits the memory for response bodies. Once no more than `spare_descriptors` are
+    /// available, the client for a new address replaces the least recently used one, whose idle connections close.
     pub fn new(
         timeouts: ConnectionTimeouts,
         budget: MemoryBudget,
         descriptors: Descriptors,
-        spare: usize,
+        spare_descriptors: usize,
     ) -> HttpBackend {
-        HttpBackend { clients: RefCell::default(), timeouts, budget, descriptors, spare_descriptors: spare }
+        HttpBackend { clients: RefCell::default(), timeouts, budget, descriptors, spare_descriptors }
     }
 
-    /// Closes all idle connections. Those in use stay until their attempts end.
-    pub fn shed_idle(&self) {
+    /// Closes all idle connections. Connections in use close when their attempts end.
+    pub fn close_idle_connections(&self) {
         self.clients.borrow_mut().clear();
     }
 
-    /// Closes the idle connections to an address, and those in use once their attempts end.
-    pub fn forget(&self, address: SocketAddr) {
+    /// Removes the client of an address: idle connections close now, connections in use when their attempts end.
+    pub fn remove_client(&self, address: SocketAddr) {
         self.clients.borrow_mut().remove(address);
     }
 
-    /// The client of an address.
+    /// The client of an address, created on first use.
     fn client(&self, address: SocketAddr) -> Client {
         let mut clients = self.clients.borrow_mut();
         if self.descriptors.available() == 0 {
-            // Idle connections to other backends give way to one to this.
+            // Closes the idle connections to other backends to free descriptors for this one.
             clients.retain_only(address);
         }
         if let Some(client) = clients.get(address) {
             return client;
         }
-        // Guards against more backends than there are descriptors: were these to run out, all idle connections would
-        // be closed at once, time and again, and hardly one be used twice.
+        // With more backends than descriptors, removing one client at a time keeps most connections reusable. If the
+        // descriptors ran out, all idle connections would be closed at once, again and again, and hardly any reused.
         if self.descriptors.available() <= self.spare_descriptors {
             clients.remove_least_recent();
         }
@@ -98,17 +98,18 @@
         client
     }
 
-    /// Makes one attempt, and tells the backend that it has `time_left`. Dropping the future closes its connection.
+    /// Makes one attempt and sends `time_left` to the backend as `Request-Timeout-Ms`. Dropping the future closes the
+    /// attempt's connection.
     pub async fn attempt(
         &self,
         address: SocketAddr,
         time_left: Micros,
         request: &HttpBackendRequest,
     ) -> AttemptResult<BackendResponse> {
-        // The client stays alive with the attempt, also where the pool gives it up meanwhile.
+        // Holds the client until the attempt ends, even if the pool removes it in the meantime.
         let client = self.client(address);
-        let awc_request = build_request(&client, address, time_left, request);
-        // A write keeps its framing even where its body is empty.
+        let awc_request = build_awc_request(&client, address, time_left, request);
+        // A write has a `Content-Length` even if its body is empty.
         let sending = if request.body.is_empty() && request.method == Method::GET {
             awc_request.send()
         } else {
@@ -116,14 +117,14 @@
         };
         let mut response = match sending.await {
             Ok(response) => response,
-            Err(error) => return AttemptResult::without_response(end_of_error(&error)),
+            Err(error) => return AttemptResult::without_response(attempt_end_of_error(&error)),
         };
-        let end = end_of_status(response.status(), response.headers());
+        let end = attempt_end_of_status(response.status(), response.headers());
         let report = LoadReport::read(response.headers());
         let Some(body) = read_body(&mut response).await else {
             return AttemptResult::without_response(AttemptEnd::Reset);
         };
-        release_after_rest(response);
+        release_after_delay(response);
         AttemptResult {
             end,
             response: (end == AttemptEnd::Ok).then_some(BackendResponse::Http(body)),
@@ -133,8 +134,8 @@
     }
 }
 
-/// The request of an attempt, its body not added yet.
-fn build_request(
+/// Builds the request of an attempt without its body.
+fn build_awc_request(
     client: &Client,
     address: SocketAddr,
     time_left: Micros,
--- a/crates/sedgerun/src/backend/http/response.rs
+++ b/crates/sedgerun/src/backend/http/response.rs
@@ -1,4 +1,4 @@
-//! What a backend's HTTP response, or the error in its place, says of the attempt.
+//! Derives the outcome of an attempt from a backend's HTTP response or from awc's error.
 
 use super::client::{EMFILE, ENFILE};
 use actix_http::StatusCode;
@@ -11,42 +11,41 @@
 use sedgerun_policy::AttemptEnd;
 use std::time::Duration;
 
-/// How long a connection rests behind a response before it is used again.
-const REST_BEFORE_REUSE: Duration = Duration::from_millis(5);
-/// The largest figure that a backend can mean: what the simulator's wire has room for.
-const MAX_FIGURE: f64 = 65_535.0;
+/// Delay between the end of a response and the reuse of its connection.
+const REUSE_DELAY: Duration = Duration::from_millis(5);
+/// The largest value that a backend can report: the simulator's protocol encodes it in 16 bits.
+const MAX_REPORTED_VALUE: f64 = 65_535.0;
 
-/// The length of a response's body in bytes. A complete response stream has framed it: all of it is there.
+/// The length of a response body in bytes. `CompleteResponseStream` has set the header and received the entire body.
 pub fn content_length(headers: &HeaderMap) -> usize {
     let length = headers.get(CONTENT_LENGTH).and_then(|length| length.to_str().ok()?.parse().ok());
     length.unwrap_or(0)
 }
 
-/// What a backend reports of its load in the headers of a response.
+/// The load that a backend reports in the headers of a response.
 pub(super) struct LoadReport {
-    /// The volume's use everywhere, as a multiple of its plan's rate.
+    /// The volume's usage across all backends, as a multiple of its plan's rate.
     pub(super) volume_usage: Option<f64>,
-    /// Units that the backend served the volume through other heads.
+    /// Units that the backend has served for the volume through other heads.
     pub(super) units_elsewhere: f64,
 }
 
 impl LoadReport {
     pub(super) fn read(headers: &HeaderMap) -> LoadReport {
         LoadReport {
-            volume_usage: figure(headers, "X-Iops-Used").map(|percent| percent / 100.0),
-            units_elsewhere: figure(headers, "X-Rho").unwrap_or(0.0),
+            volume_usage: reported_value(headers, "X-Iops-Used").map(|percent| percent / 100.0),
+            units_elsewhere: reported_value(headers, "X-Rho").unwrap_or(0.0),
         }
     }
 }
 
-/// A figure that a backend reports in the headers of a response. One that cannot be read, or that no volume can reach, is
-/// passed over; the response counts without it.
-fn figure(headers: &HeaderMap, name: &str) -> Option<f64> {
+/// A number in a response header. A malformed or out-of-range value is ignored; the rest of the response is still used.
+fn reported_value(headers: &HeaderMap, name: &str) -> Option<f64> {
     let value: f64 = headers.get(name)?.to_str().ok()?.trim().parse().ok()?;
-    (0.0..=MAX_FIGURE).contains(&value).then_some(value)
+    (0.0..=MAX_REPORTED_VALUE).contains(&value).then_some(value)
 }
 
-/// Reads a body to its length; `None` where the connection breaks off before.
+/// Reads a body to its full length; `None` if the connection ends before.
 pub(super) async fn read_body<S>(response: &mut ClientResponse<S>) -> Option<Bytes>
 where
     S: Stream<Item = Result<Bytes, PayloadError>>,
@@ -60,23 +59,23 @@
     Some(body.freeze())
 }
 
-/// Gives a response's connection back to awc, a little later.
+/// Returns a response's connection to awc's pool after [`REUSE_DELAY`].
 ///
-/// Guards against backends that close a connection right behind a response: a write that goes out before that is
-/// noticed may have run, and fails. awc takes the connection back at the end of the body, which it is
-/// given after the rest.
-pub(super) fn release_after_rest<S>(mut response: ClientResponse<S>)
+/// Some backends close the connection right after a response. A write sent before the close is detected fails, although
+/// the backend may have run it. awc reuses a connection once the body has been read to its end, so the end of the body
+/// is read only after the delay.
+pub(super) fn release_after_delay<S>(mut response: ClientResponse<S>)
 where
     ClientResponse<S>: Stream<Item = Result<Bytes, PayloadError>> + Unpin + 'static,
 {
     actix_rt::spawn(async move {
-        tokio::time::sleep(REST_BEFORE_REUSE).await;
+        tokio::time::sleep(REUSE_DELAY).await;
         while let Some(Ok(_)) = response.next().await {}
     });
 }
 
-/// How an attempt ended that was answered with this status.
-pub(super) fn end_of_status(status: StatusCode, headers: &HeaderMap) -> AttemptEnd {
+/// How an attempt ended, by the status and headers of its response.
+pub(super) fn attempt_end_of_status(status: StatusCode, headers: &HeaderMap) -> AttemptEnd {
     let not_started = headers.get("Not-Started").is_some_and(|value| value == "1");
     match status {
         StatusCode::OK => AttemptEnd::Ok,
@@ -85,13 +84,13 @@
     }
 }
 
-/// What an error proves. Only a connection that was never made, or a request whose last byte the kernel
-/// never took, proves that nothing ran. awc reports a connection that ends before its response as
-/// `Connect(Disconnected)`: that one has been made, and the request written.
-pub(super) fn end_of_error(error: &SendRequestError) -> AttemptEnd {
+/// How an attempt ended, by awc's error. The request has certainly not run only if the connection was never established
+/// or the kernel did not accept the request's last byte. awc reports a connection that ends before its response as
+/// `Connect(Disconnected)`: that connection was established and the request was written.
+pub(super) fn attempt_end_of_error(error: &SendRequestError) -> AttemptEnd {
     match error {
         SendRequestError::Connect(ConnectError::Disconnected) => AttemptEnd::Reset,
-        // Out of descriptors here: it tells nothing of the backend.
+        // This head is out of descriptors; the error is not the backend's fault.
         SendRequestError::Connect(ConnectError::Io(error))
             if matches!(error.raw_os_error(), Some(EMFILE | ENFILE)) =>
         {
--- a/crates/sedgerun/src/backend/memory_budget.rs
+++ b/crates/sedgerun/src/backend/memory_budget.rs
@@ -1,15 +1,16 @@
-//! The memory that bodies of requests and responses may take up, as reservations against one budget.
+//! Limits the memory that request and response bodies may use.
 //!
-//! A [`MemoryBudget`] is shared by all who read bodies of one kind; each body holds a [`MemoryReservation`], which
-//! gives its bytes back when it is dropped. Nothing here waits: a body that does not fit is refused at once.
+//! All readers of one kind of body share a [`MemoryBudget`]. Each body holds a [`MemoryReservation`], which releases its
+//! bytes when it is dropped. Reservations never wait: a body that does not fit is rejected at once.
 
 use std::cell::Cell;
 use std::io;
 use std::rc::Rc;
 use thiserror::Error;
 
-/// The bytes that bodies may take up, all together and one by one: those of responses (a response that the
-/// settings call small can be large: backends send 400 KB on some days), and those of requests over 64 KiB.
+/// A limit on the total size of bodies and on the size of each one, in bytes. One budget covers responses (a response
+/// in a class that the settings describe as small can still be large: backends send 400 KB on some days), another one
+/// requests over 64 KiB.
 #[derive(Clone, Debug)]
 pub struct MemoryBudget {
     available_bytes: Rc<Cell<usize>>,
@@ -17,30 +18,29 @@
 }
 
 impl MemoryBudget {
-    /// A budget of `total_bytes`, of which one body may take `max_body_bytes`.
+    /// A budget of `total_bytes` in which each body may use up to `max_body_bytes`.
     pub fn new(total_bytes: usize, max_body_bytes: usize) -> MemoryBudget {
         MemoryBudget { available_bytes: Rc::new(Cell::new(total_bytes)), max_body_bytes }
     }
 
-    /// The most that one body may take, in bytes.
+    /// The largest size of one body, in bytes.
     pub fn max_body_bytes(&self) -> usize {
         self.max_body_bytes
     }
 
-    /// Reserves memory for one body; `None` where that many bytes are not free now, or are more than one body may
-    /// take.
+    /// Reserves memory for one body; `None` if that many bytes are not available now or exceed the limit of one body.
     pub fn reserve(&self, bytes: usize) -> Option<MemoryReservation> {
         let mut reservation = self.empty_reservation();
         reservation.grow(bytes as u64).ok().map(|()| reservation)
     }
 
-    /// A reservation of no bytes yet, for a body whose length is not known.
+    /// A reservation of 0 bytes, for a body whose length is not known yet.
     pub(super) fn empty_reservation(&self) -> MemoryReservation {
         MemoryReservation { budget: self.clone(), bytes: 0 }
     }
 }
 
-/// What a body takes up of a [`MemoryBudget`], until it is handed on or dropped.
+/// The bytes of a [`MemoryBudget`] that one body uses. Dropping it returns them to the budget.
 #[derive(Debug)]
 pub struct MemoryReservation {
     budget: MemoryBudget,
@@ -48,26 +48,23 @@
 }
 
 impl MemoryReservation {
-    /// The bytes reserved.
+    /// The number of bytes reserved.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Reserves so many bytes more.
+    /// Reserves `bytes` more bytes.
     ///
     /// # Errors
     ///
-    /// An [`io::Error`] of the kind `InvalidData`: with a [`BodyTooLarge`] inside where the body would be larger than
-    /// one may be, and with another cause where the bytes are not free now. The reservation stays as it was.
+    /// An [`io::Error`] of the kind `InvalidData`. Its source is [`BodyTooLarge`] if the body would exceed the limit of
+    /// one body, and another error if the bytes are not available now. The reservation is unchanged.
     pub fn grow(&mut self, bytes: u64) -> io::Result<()> {
         let bytes = usize::try_from(bytes).unwrap_or(usize::MAX);
-        let most = self.budget.max_body_bytes;
-        if bytes > most - self.bytes {
+        let max_bytes = self.budget.max_body_bytes;
+        if bytes > max_bytes - self.bytes {
             let size = (self.bytes as u64).saturating_add(bytes as u64);
-            return Err(io::Error::new(
-                io::ErrorKind::InvalidData,
-                BodyTooLarge { bytes: size, max_bytes: most },
-            ));
+            return Err(io::Error::new(io::ErrorKind::InvalidData, BodyTooLarge { bytes: size, max_bytes }));
         }
         let available = self.budget.available_bytes.get().checked_sub(bytes);
         let available =
@@ -85,17 +82,17 @@
     }
 }
 
-/// A body over the most that one may take up. It comes inside an [`io::Error`] of the kind `InvalidData`.
+/// A body exceeds the limit of one body. Returned as the source of an [`io::Error`] of the kind `InvalidData`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("a body of {bytes} bytes or more, over the limit of {max_bytes}")]
+#[error("body of at least {bytes} bytes exceeds the limit of {max_bytes} bytes")]
 pub struct BodyTooLarge {
-    /// Its bytes, as far as they were announced or had come.
+    /// The size of the body in bytes, as far as it was announced or received.
     pub bytes: u64,
-    /// The most that a body may take up, in bytes.
+    /// The largest size of one body, in bytes.
     pub max_bytes: usize,
 }
 
-/// A body for which the budget has no bytes left now.
+/// The budget has too few bytes available for a body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("no room for a body")]
+#[error("memory budget for bodies is exhausted")]
 struct BudgetExhausted;
--- a/crates/sedgerun/src/backend/mod.rs
+++ b/crates/sedgerun/src/backend/mod.rs
@@ -1,9 +1,8 @@
-//! The client side of the program: makes attempts at backends, each over the protocol that its request came in.
+//! Backend clients: make attempts at backends, each over the protocol of its request.
 //!
-//! [`Backends`] owns the clients of both protocols, the backends' names and their addresses. Which backend an attempt
-//! goes to, and whether there is another, is decided elsewhere.
+//! [`Backends`] owns the clients of both protocols and the names and addresses of the backends. The dispatcher selects
+//! the backend of an attempt and decides on retries.
 
-pub mod answer;
 mod attempt_started;
 mod backend_names;
 mod complete_response_stream;
@@ -15,6 +14,8 @@
 
 pub use attempt_started::AttemptStarted;
 pub use backend_names::BackendNames;
+pub use complete_response_stream::FORWARDED_HEADERS;
+pub use memory_budget::{BodyTooLarge, MemoryBudget, MemoryReservation};
 
 use crate::descriptors::Descriptors;
 use bytes::Bytes;
@@ -25,7 +26,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// A client's request, as a front end hands it through the dispatcher.
+/// A client's request, which a front end submits to the dispatcher and an attempt sends to a backend.
 #[derive(Debug)]
 pub enum BackendRequest {
     /// An HTTP request.
@@ -39,15 +40,15 @@
 pub enum BackendResponse {
     /// The body of a 200.
     Http(Bytes),
-    /// The 9P reply.
+    /// The 9P response message.
     Ninep(Message),
 }
 
-/// The backends of both protocols.
+/// The clients, names and addresses of all backends.
 pub struct Backends {
-    /// The numbers of backends.
+    /// Names and ids of backends.
     pub names: BackendNames,
-    /// The HTTP addresses of backends.
+    /// HTTP addresses by backend.
     pub addresses: RefCell<BTreeMap<BackendId, SocketAddr>>,
     /// The HTTP client.
     pub http: http::HttpBackend,
@@ -57,36 +58,36 @@
 }
 
 impl Backends {
-    /// The clients, with no backend known yet.
+    /// Creates the set of backends, with no backend known yet.
     pub fn new(http: http::HttpBackend, ninep: ninep::NinePBackend, descriptors: Descriptors) -> Backends {
         Backends { names: BackendNames::default(), addresses: RefCell::default(), http, ninep, descriptors }
     }
 
-    /// The program's descriptors.
+    /// The descriptor limit of the process.
     pub fn descriptors(&self) -> &Descriptors {
         &self.descriptors
     }
 
-    /// Sets a backend's HTTP address, where it has one; idle connections to the one it had before are closed.
+    /// Sets or clears a backend's HTTP address. If the address changes, idle connections to the previous one are closed.
     pub fn set_address(&self, backend: BackendId, address: Option<SocketAddr>) {
         let previous = match address {
             Some(address) => self.addresses.borrow_mut().insert(backend, address),
             None => self.addresses.borrow_mut().remove(&backend),
         };
         if let Some(previous) = previous.filter(|previous| Some(*previous) != address) {
-            self.http.forget(previous);
+            self.http.remove_client(previous);
         }
     }
 
-    /// Forgets a backend that was removed. Its name, should it come back, gets a new number. Backends that speak 9P
-    /// stand in the operator's file and are never forgotten.
-    pub fn forget(&self, backend: BackendId) {
+    /// Removes a backend. If its name is used again, it gets a new id. 9P backends are listed in the operator's file and
+    /// are never removed.
+    pub fn remove(&self, backend: BackendId) {
         self.set_address(backend, None);
-        self.names.forget(backend);
+        self.names.remove(backend);
     }
 
-    /// Makes an attempt, whose deadline is `time_left` from now; `None` where the backend cannot take this kind of
-    /// request.
+    /// Makes an attempt whose deadline is `time_left` from now; `None` if the backend has no address for the request's
+    /// protocol.
     pub async fn attempt(
         &self,
         backend: BackendId,
--- a/crates/sedgerun/src/backend/ninep/connection.rs
+++ b/crates/sedgerun/src/backend/ninep/connection.rs
@@ -81,11 +81,11 @@
         let writer = actix_rt::spawn(write_frames(queue, write_half));
         let reader = actix_rt::spawn(deliver_replies(read_half, Rc::downgrade(&connection)));
         connection.tasks.borrow_mut().extend([writer.abort_handle(), reader.abort_handle()]);
-        connection.agree_on_version().await?;
+        connection.negotiate_version().await?;
         Ok(connection)
     }
 
-    async fn agree_on_version(&self) -> Result<(), ConnectionLost> {
+    async fn negotiate_version(&self) -> Result<(), ConnectionLost> {
         let version = Message::Tversion { msize: MAX_MESSAGE_SIZE, version: VERSION.into() };
         match self.call_with_tag(NO_TAG, version).await? {
             Message::Rversion { msize, version } if version == VERSION && msize > 2 * IO_HEADER_SIZE => {
@@ -124,7 +124,7 @@
 
     /// Sends a message and waits for its reply. Dropping the future flushes the call.
     pub(super) async fn call(&self, message: Message) -> Result<Message, ConnectionLost> {
-        self.call_with_tag(self.free_tag()?, message).await
+        self.call_with_tag(self.allocate_tag()?, message).await
     }
 
     async fn call_with_tag(&self, tag: u16, message: Message) -> Result<Message, ConnectionLost> {
@@ -144,7 +144,7 @@
 
     /// Tells the backend that nobody waits for a call any more.
     fn flush(&self, flushed_tag: u16) {
-        let Ok(tag) = self.free_tag() else { return };
+        let Ok(tag) = self.allocate_tag() else { return };
         let mut in_flight = self.in_flight.borrow_mut();
         in_flight.cancel(flushed_tag);
         if self.send(tag, &Message::Tflush { oldtag: flushed_tag }) {
@@ -157,7 +157,7 @@
     pub(super) fn clunk_stale(&self) {
         let stale = self.fids.borrow_mut().take_stale();
         for fid in stale {
-            let Ok(tag) = self.free_tag() else { return };
+            let Ok(tag) = self.allocate_tag() else { return };
             if self.send(tag, &Message::Tclunk { fid }) {
                 // Its reply, of whatever kind, frees the tag like a flush of itself.
                 self.in_flight.borrow_mut().insert_flush(tag, tag);
@@ -165,7 +165,7 @@
         }
     }
 
-    fn free_tag(&self) -> Result<u16, ConnectionLost> {
+    fn allocate_tag(&self) -> Result<u16, ConnectionLost> {
         self.in_flight.borrow_mut().next_free().ok_or(ConnectionLost)
     }
 
--- a/crates/sedgerun/src/backend/ninep/files.rs
+++ b/crates/sedgerun/src/backend/ninep/files.rs
@@ -12,7 +12,7 @@
     /// The connection ended.
     ConnectionLost,
     /// The backend replied to a step on the way with this, which is the reply to the operation.
-    Replied(Message),
+    Response(Message),
 }
 
 impl From<ConnectionLost> for OperationStopped {
@@ -38,7 +38,7 @@
             connection.fids.borrow_mut().roots.insert(key, root);
             Ok(root)
         }
-        other => Err(OperationStopped::Replied(other)),
+        other => Err(OperationStopped::Response(other)),
     }
 }
 
@@ -60,9 +60,9 @@
             Message::Rwalk { qids } if qids.len() == names.len() => from = file.fid(),
             Message::Rwalk { .. } => {
                 let not_found = Message::Rerror { ename: "file does not exist".into() };
-                return Err(OperationStopped::Replied(not_found));
+                return Err(OperationStopped::Response(not_found));
             }
-            other => return Err(OperationStopped::Replied(other)),
+            other => return Err(OperationStopped::Response(other)),
         }
     }
     Ok(file)
@@ -81,7 +81,7 @@
     let fid = file.fid();
     let qid = match connection.call(Message::Topen { fid, mode: request.mode & MODE_ACCESS_MASK }).await? {
         Message::Ropen { qid, .. } => qid,
-        other => return Err(OperationStopped::Replied(other)),
+        other => return Err(OperationStopped::Response(other)),
     };
     if let (FileOperation::Read { offset, .. }, true) = (&request.op, qid.kind & QID_DIRECTORY != 0) {
         skip_directory_entries(connection, fid, *offset).await?;
@@ -102,7 +102,7 @@
         match connection.call(Message::Tread { fid, offset, count }).await? {
             Message::Rread { data } if !data.is_empty() => offset += data.len() as u64,
             Message::Rread { .. } => break,
-            other => return Err(OperationStopped::Replied(other)),
+            other => return Err(OperationStopped::Response(other)),
         }
     }
     Ok(())
--- a/crates/sedgerun/src/backend/ninep/operation.rs
+++ b/crates/sedgerun/src/backend/ninep/operation.rs
@@ -33,19 +33,19 @@
     /// The connection is lost; whether anything may have run, [`effect_sent`](Self::effect_sent) says.
     pub(super) async fn run(&mut self) -> Result<Message, ConnectionLost> {
         self.connection.clunk_stale();
-        match self.reply().await {
-            Ok(reply) | Err(OperationStopped::Replied(reply)) => Ok(reply),
+        match self.execute().await {
+            Ok(reply) | Err(OperationStopped::Response(reply)) => Ok(reply),
             Err(OperationStopped::ConnectionLost) => Err(ConnectionLost),
         }
     }
 
-    async fn reply(&mut self) -> Reply {
+    async fn execute(&mut self) -> Reply {
         match &self.request.op {
             FileOperation::Attach => {
                 let root = attach(self.connection, self.request).await?;
                 Ok(Message::Rattach { qid: root.qid })
             }
-            FileOperation::Walk { names } => self.walk_on(names).await,
+            FileOperation::Walk { names } => self.walk_names(names).await,
             FileOperation::Open { mode } => self.open(*mode).await,
             FileOperation::Create { name, perm, mode } => self.create(name, *perm, *mode).await,
             FileOperation::Read { offset, count } => self.read(*offset, *count).await,
@@ -66,7 +66,7 @@
         }
     }
 
-    async fn walk_on(&self, names: &[String]) -> Reply {
+    async fn walk_names(&self, names: &[String]) -> Reply {
         let from = self.walk().await?;
         let to = self.connection.new_fid();
         let walk = Message::Twalk { fid: from.fid(), newfid: to.fid(), names: names.to_vec() };
--- a/crates/sedgerun/src/backend/pool.rs
+++ b/crates/sedgerun/src/backend/pool.rs
@@ -1,17 +1,17 @@
-//! Clients of backends in the order of their use, so that the least recently used one can give its connections up.
+//! A pool of backend clients in least-recently-used order.
 //!
-//! It does no I/O: a client closes its idle connections when it is dropped by who removed it here.
+//! The pool does no I/O: a client closes its idle connections when the caller drops it after its removal.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// A client for each address, with the order in which they were last used.
+/// One client for each address, in the order of last use.
 #[derive(Debug)]
 pub struct ClientPool<C> {
     clients: BTreeMap<SocketAddr, Entry<C>>,
-    /// The addresses by the number of their clients' last use.
+    /// Addresses by the sequence number of their last use.
     by_last_use: BTreeMap<u64, SocketAddr>,
-    /// The number of the last use of any client.
+    /// Sequence number of the most recent use of any client.
     uses: u64,
 }
 
@@ -33,12 +33,12 @@
         self.clients.len()
     }
 
-    /// Whether there is no client.
+    /// Whether the pool has no clients.
     pub fn is_empty(&self) -> bool {
         self.clients.is_empty()
     }
 
-    /// The client of an address, which is the last used from now on.
+    /// The client of an address, which becomes the most recently used.
     pub fn get(&mut self, address: SocketAddr) -> Option<C> {
         let entry = self.clients.get_mut(&address)?;
         self.by_last_use.remove(&entry.last_use);
@@ -48,7 +48,7 @@
         Some(entry.client.clone())
     }
 
-    /// Sets the client of an address in place of any that it had; it is the last used.
+    /// Adds a client, which replaces any other of the address and becomes the most recently used.
     pub fn insert(&mut self, address: SocketAddr, client: C) {
         self.remove(address);
         self.uses += 1;
@@ -56,20 +56,20 @@
         self.by_last_use.insert(self.uses, address);
     }
 
-    /// Removes an address's client.
+    /// Removes and returns the client of an address.
     pub fn remove(&mut self, address: SocketAddr) -> Option<C> {
         let Entry { client, last_use } = self.clients.remove(&address)?;
         self.by_last_use.remove(&last_use);
         Some(client)
     }
 
-    /// Removes the least recently used client.
+    /// Removes and returns the least recently used client.
     pub fn remove_least_recent(&mut self) -> Option<C> {
         let (_, address) = self.by_last_use.pop_first()?;
         self.clients.remove(&address).map(|entry| entry.client)
     }
 
-    /// Removes all clients but that of one address.
+    /// Removes all clients except the one of an address.
     pub fn retain_only(&mut self, address: SocketAddr) {
         let kept = self.remove(address);
         self.clear();
--- a/crates/sedgerun/src/backend/response_reader.rs
+++ b/crates/sedgerun/src/backend/response_reader.rs
@@ -1,6 +1,6 @@
-//! Parses one complete HTTP/1.1 response out of the bytes of a backend's connection, or says why it cannot be used.
+//! Parses one complete HTTP/1.1 response from the bytes of a backend connection, or returns why it is invalid.
 //!
-//! It does no I/O: its owner hands it the bytes that came. The body is held within a [`MemoryReservation`].
+//! The parser does no I/O: its owner passes it the received bytes. A [`MemoryReservation`] accounts for the body.
 
 use super::memory_budget::{MemoryBudget, MemoryReservation};
 use actix_codec::Decoder;
@@ -13,33 +13,33 @@
 use std::io;
 use thiserror::Error;
 
-/// The largest head of a response, in bytes.
+/// The largest response head, in bytes.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// The most informational (1xx) heads that may come in front of a response.
+/// The most informational (1xx) heads accepted before the final head.
 const MAX_INFORMATIONAL_HEADS: usize = 16;
-/// The status of an informational head that ends HTTP on its connection.
+/// The informational status after which the connection no longer carries HTTP.
 const SWITCHING_PROTOCOLS: u16 = 101;
 
-/// A response all of which has come.
+/// A response that has been received to its end.
 #[derive(Debug)]
 pub(super) struct CompleteResponse {
     pub(super) head: ResponseHead,
     pub(super) body: BytesMut,
 }
 
-/// Why a response cannot be used. The request has run, and its connection is of no further use.
+/// Why a response is invalid. The backend has run the request, and the connection cannot be reused.
 #[derive(Debug, Error)]
 enum InvalidResponse {
-    #[error("a head that cannot be read")]
+    #[error("malformed response head")]
     MalformedHead(#[source] ParseError),
-    #[error("an endless head")]
-    EndlessHead,
-    /// The head switches protocols, or is one informational head too many.
-    #[error("not an answer")]
+    #[error("response head exceeds {MAX_HEAD_BYTES} bytes")]
+    HeadTooLarge,
+    /// The head switches protocols, or exceeds the limit of informational heads.
+    #[error("no final response head")]
     NoFinalHead,
-    #[error("a body without one length")]
+    #[error("response body has no length or ambiguous lengths")]
     AmbiguousLength,
-    #[error("a body that cannot be read")]
+    #[error("malformed response body")]
     MalformedBody(#[source] PayloadError),
 }
 
@@ -49,17 +49,17 @@
     }
 }
 
-/// Reads one response: first its heads, the informational ones included, then its body.
+/// Parses one response: any informational heads, the final head, then the body.
 pub(super) struct ResponseReader {
-    /// What the body takes up.
+    /// Memory reserved for the body.
     reservation: MemoryReservation,
     informational_heads: usize,
     head_codec: ClientCodec,
-    /// The final head and the body behind it, once the head has come.
+    /// The final head and the body received so far; `None` until the final head has been received.
     body: Option<PartialBody>,
 }
 
-/// A body that is being read, with the head that it belongs to.
+/// A partially received body with its head.
 struct PartialBody {
     head: ResponseHead,
     codec: ClientPayloadCodec,
@@ -74,7 +74,7 @@
 }
 
 impl ResponseReader {
-    /// A reader of the next response, whose body takes its memory from a budget.
+    /// A reader for the next response, whose body is reserved in `budget`.
     pub(super) fn new(budget: &MemoryBudget) -> ResponseReader {
         ResponseReader {
             reservation: budget.empty_reservation(),
@@ -84,11 +84,11 @@
         }
     }
 
-    /// Consumes what has come; the response once it is complete, `None` while more has to come.
+    /// Consumes received bytes. Returns the response once it is complete, and `None` while bytes are missing.
     ///
     /// # Errors
     ///
-    /// Of the kind `InvalidData`: the response cannot be used, or there is no memory for its body.
+    /// An error of the kind `InvalidData` if the response is invalid or there is no memory for its body.
     pub(super) fn read(&mut self, received: &mut BytesMut) -> io::Result<Option<CompleteResponse>> {
         if self.body.is_none() {
             let Some(head) = self.read_final_head(received)? else { return Ok(None) };
@@ -97,7 +97,7 @@
                 return Ok(Some(CompleteResponse { head, body: BytesMut::new() }));
             }
             let codec = std::mem::take(&mut self.head_codec).into_payload_codec();
-            // A body of a known length, which has been reserved, never has to grow.
+            // A body of known length has been reserved in full, so the buffer never grows.
             let body = BytesMut::with_capacity(self.reservation.bytes());
             self.body = Some(PartialBody { head, codec, received: body });
         }
@@ -110,13 +110,13 @@
             .map(|PartialBody { head, received, .. }| CompleteResponse { head, body: received }))
     }
 
-    /// The head of the response itself, behind any informational ones; `None` while more has to come.
+    /// Reads up to the final head and skips informational ones; `None` while bytes are missing.
     fn read_final_head(&mut self, received: &mut BytesMut) -> Result<Option<ResponseHead>, InvalidResponse> {
         loop {
             let head = self.head_codec.decode(received).map_err(InvalidResponse::MalformedHead)?;
             let Some(head) = head else {
-                let endless = received.len() > MAX_HEAD_BYTES;
-                return if endless { Err(InvalidResponse::EndlessHead) } else { Ok(None) };
+                let too_large = received.len() > MAX_HEAD_BYTES;
+                return if too_large { Err(InvalidResponse::HeadTooLarge) } else { Ok(None) };
             };
             if !head.status.is_informational() {
                 return Ok(Some(head));
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Collects what has come of the body; whether that is all of it.
+    /// Appends received bytes to the body and returns whether the body is complete.
     fn read_body(&mut self, received: &mut BytesMut) -> io::Result<bool> {
         let Some(body) = &mut self.body else { return Ok(false) };
         loop {
@@ -150,13 +150,13 @@
     }
 }
 
-/// The length that a head announces for its body, in bytes; `None` for a chunked one.
+/// The `Content-Length` of a response in bytes; `None` if the body is chunked.
 fn announced_length(head: &ResponseHead) -> Result<Option<u64>, InvalidResponse> {
     let length = head.headers.get(header::CONTENT_LENGTH);
     let length = length.and_then(|value| value.to_str().ok()?.trim().parse::<u64>().ok());
     let is_chunked = head.headers.contains_key(header::TRANSFER_ENCODING);
-    // Guards against bodies that only the connection's end would delimit, and against two lengths that differ:
-    // neither can be told from a part.
+    // Rejects a body that only the end of the connection would delimit, and one with both a `Content-Length` and
+    // chunked encoding: neither can be distinguished from a truncated body.
     if length.is_some() == is_chunked {
         return Err(InvalidResponse::AmbiguousLength);
     }
--- a/crates/sedgerun/src/discovery/client.rs
+++ b/crates/sedgerun/src/discovery/client.rs
@@ -1,7 +1,7 @@
 //! The HTTP client of discovery: one poll at a time, each with a bounded response.
 
 use super::failure::PollFailure;
-use crate::backend::answer::MemoryBudget;
+use crate::backend::MemoryBudget;
 use crate::backend::http::{ConnectionTimeouts, client, content_length};
 use crate::dispatch_service::DispatchService;
 use awc::Client;
--- a/crates/sedgerun/src/discovery/delivery.rs
+++ b/crates/sedgerun/src/discovery/delivery.rs
@@ -92,9 +92,9 @@
             // A banned backend keeps its number, so that its ban holds when it is listed again.
             let is_needed = self.listed.contains(&backend)
                 || self.operator_backends.contains_key(&backend)
-                || self.dispatch.is_banned(backend);
+                || self.dispatch.is_disabled(backend);
             if !is_needed && !self.dispatch.has_attempt_at(backend) {
-                backends.forget(backend);
+                backends.remove(backend);
             }
         }
     }
--- a/crates/sedgerun/src/discovery/failure.rs
+++ b/crates/sedgerun/src/discovery/failure.rs
@@ -1,7 +1,7 @@
 //! How a poll of discovery fails.
 
 use super::list::{ListError, SizeUnit, TooLarge};
-use crate::backend::answer::BodyTooLarge;
+use crate::backend::BodyTooLarge;
 use actix_http::error::ParseError;
 use awc::error::{PayloadError, SendRequestError};
 use std::io::ErrorKind;
--- a/crates/sedgerun/src/dispatch_service/effects.rs
+++ b/crates/sedgerun/src/dispatch_service/effects.rs
@@ -10,38 +10,38 @@
 impl DispatchService {
     /// Carries out the dispatcher's effects in their order. What follows while one is carried out queues up
     /// behind it.
-    pub(super) fn carry_out(self: &Rc<Self>) {
-        if self.is_carrying_out.replace(true) {
+    pub(super) fn apply_effects(self: &Rc<Self>) {
+        if self.is_applying_effects.replace(true) {
             return;
         }
         loop {
             let Some(effect) = self.dispatcher.borrow_mut().next_effect() else { break };
             match effect {
                 Effect::Send { id, attempt, backend, deadline, payload } => {
-                    self.begin_attempt(AttemptKey { id, attempt }, backend, deadline, payload);
+                    self.start_attempt(AttemptKey { id, attempt }, backend, deadline, payload);
                 }
-                Effect::Cancel { id, attempt } => self.abandon_attempt(AttemptKey { id, attempt }),
-                Effect::Respond { id, response } => self.give_answer(id, response),
-                Effect::Watch => self.watch_wanted.notify_one(),
+                Effect::Cancel { id, attempt } => self.cancel_attempt(AttemptKey { id, attempt }),
+                Effect::Respond { id, response } => self.send_response(id, response),
+                Effect::Watch => self.watch_request.notify_one(),
             }
         }
-        self.is_carrying_out.set(false);
-        self.alarm.wake_if_earlier(self.dispatcher.borrow().next_timer());
+        self.is_applying_effects.set(false);
+        self.timer_wakeup.wake_if_earlier(self.dispatcher.borrow().next_timer());
     }
 
-    fn begin_attempt(
+    fn start_attempt(
         self: &Rc<Self>,
         key: AttemptKey,
         backend: BackendId,
         until: Micros,
-        job: Rc<BackendRequest>,
+        payload: Rc<BackendRequest>,
     ) {
         let service = Rc::clone(self);
         let time_left = until.saturating_sub(self.clock.now());
         let started = AttemptStarted::default();
         let marker = started.clone();
         let task = actix_rt::spawn(async move {
-            let result = marker.scope(service.backends.attempt(backend, time_left, &job)).await;
+            let result = marker.scope(service.backends.attempt(backend, time_left, &payload)).await;
             let result =
                 result.unwrap_or_else(|| AttemptResult::without_response(AttemptEnd::CancelledUnsent));
             service.attempt_ended(key.id, key.attempt, result);
@@ -49,7 +49,7 @@
         self.attempts.insert(key, AttemptTask { backend, started, handle: task.abort_handle() });
     }
 
-    fn abandon_attempt(&self, key: AttemptKey) {
+    fn cancel_attempt(&self, key: AttemptKey) {
         if let Some(task) = self.attempts.remove(key) {
             task.abort();
             // Abandoned in flight: it was written, or as good as.
@@ -57,12 +57,12 @@
         }
     }
 
-    fn give_answer(&self, id: RequestId, answer: FinalResponse<BackendResponse>) {
-        let client = self.waiting.borrow_mut().remove(&id);
+    fn send_response(&self, id: RequestId, response: FinalResponse<BackendResponse>) {
+        let client = self.clients.borrow_mut().remove(&id);
         if let Some(client) = client {
             // The client may have disconnected in the meantime; then nobody waits for the answer.
-            let _ = client.answer.send(answer);
+            let _ = client.response.send(response);
         }
-        self.settled.notify_waiters();
+        self.response_sent.notify_waiters();
     }
 }
--- a/crates/sedgerun/src/dispatch_service/mod.rs
+++ b/crates/sedgerun/src/dispatch_service/mod.rs
@@ -21,13 +21,13 @@
 use crate::metrics::{Metrics, OperationStatus};
 use attempts::{AttemptKey, AttemptTask, AttemptTasks};
 use futures_util::FutureExt;
-use pending_request::WaitingClient;
+use pending_request::ResponseReceiver;
 use sedgerun_dispatch::{AttemptResult, BackendOverrides, Dispatcher, RequestSpec};
 use sedgerun_policy::{AttemptEnd, BackendId, Endpoint, Micros, Readiness, RequestId, Settings, UpdateScope};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
-use timers::Alarm;
+use timers::TimerWakeup;
 use tokio::sync::{Notify, oneshot};
 
 /// Ends of attempts of which nothing was written to a backend.
@@ -40,14 +40,14 @@
     dispatcher: RefCell<Dispatcher<BackendRequest, BackendResponse>>,
     backends: Backends,
     /// The clients of open requests.
-    waiting: RefCell<HashMap<RequestId, WaitingClient>>,
+    clients: RefCell<HashMap<RequestId, ResponseReceiver>>,
     attempts: AttemptTasks,
     overrides: RefCell<BackendOverrides>,
-    is_carrying_out: Cell<bool>,
-    alarm: Alarm,
-    watch_wanted: Notify,
+    is_applying_effects: Cell<bool>,
+    timer_wakeup: TimerWakeup,
+    watch_request: Notify,
     /// Notified when a request got its final answer.
-    pub settled: Notify,
+    pub response_sent: Notify,
     /// What operators read.
     pub metrics: Metrics,
 }
@@ -65,13 +65,13 @@
             clock,
             dispatcher: RefCell::new(Dispatcher::new(settings, seed, max_open_requests)),
             backends,
-            waiting: RefCell::default(),
+            clients: RefCell::default(),
             attempts: AttemptTasks::default(),
             overrides: RefCell::default(),
-            is_carrying_out: Cell::new(false),
-            alarm: Alarm::default(),
-            watch_wanted: Notify::new(),
-            settled: Notify::new(),
+            is_applying_effects: Cell::new(false),
+            timer_wakeup: TimerWakeup::default(),
+            watch_request: Notify::new(),
+            response_sent: Notify::new(),
             metrics: Metrics::default(),
         })
     }
@@ -97,18 +97,18 @@
     }
 
     /// From now on requests are answered by this time.
-    pub fn set_final_deadline(&self, at: Micros) {
+    pub fn set_shutdown_deadline(&self, at: Micros) {
         self.dispatcher.borrow_mut().set_shutdown_deadline(at);
     }
 
     /// Takes a request; `None` where as many are open as may be.
-    pub fn submit(self: &Rc<Self>, spec: RequestSpec, job: BackendRequest) -> Option<PendingRequest> {
-        let (sender, answer) = oneshot::channel();
+    pub fn submit(self: &Rc<Self>, spec: RequestSpec, payload: BackendRequest) -> Option<PendingRequest> {
+        let (sender, receiver) = oneshot::channel();
         let class = spec.class;
-        let id = self.dispatcher.borrow_mut().submit(self.clock.now(), spec, job)?;
-        self.waiting.borrow_mut().insert(id, WaitingClient { class, answer: sender });
-        self.carry_out();
-        Some(PendingRequest::new(Rc::clone(self), id, answer))
+        let id = self.dispatcher.borrow_mut().submit(self.clock.now(), spec, payload)?;
+        self.clients.borrow_mut().insert(id, ResponseReceiver { class, response: sender });
+        self.apply_effects();
+        Some(PendingRequest::new(Rc::clone(self), id, receiver))
     }
 
     /// Notes how an attempt ended.
@@ -143,13 +143,13 @@
 
     /// Waits until the controller wants a subscription to the endpoint list.
     pub async fn watch_requested(&self) {
-        self.watch_wanted.notified().await;
+        self.watch_request.notified().await;
     }
 
     /// Discards a wish for a subscription that nobody has acted on. Guards against one from before a failed poll,
     /// which would cut the backoff after it short.
     pub fn discard_watch_request(&self) {
-        let _ = self.watch_wanted.notified().now_or_never();
+        let _ = self.watch_request.notified().now_or_never();
     }
 
     /// Brings an update of the list as the controller is to have it. Attempts at backends that take nothing new, of
@@ -178,7 +178,7 @@
 
     /// Counts an attempt that was written to a backend, by the class of its request.
     fn count_relayed(&self, id: RequestId) {
-        if let Some(client) = self.waiting.borrow().get(&id) {
+        if let Some(client) = self.clients.borrow().get(&id) {
             self.metrics.count(client.class, OperationStatus::Relayed);
         }
     }
@@ -189,6 +189,6 @@
         event: impl FnOnce(&mut Dispatcher<BackendRequest, BackendResponse>),
     ) {
         event(&mut self.dispatcher.borrow_mut());
-        self.carry_out();
+        self.apply_effects();
     }
 }
--- a/crates/sedgerun/src/dispatch_service/overrides.rs
+++ b/crates/sedgerun/src/dispatch_service/overrides.rs
@@ -9,7 +9,7 @@
 
 impl DispatchService {
     /// Whether operators have disabled a backend, at this head or through the cluster.
-    pub fn is_banned(&self, backend: BackendId) -> bool {
+    pub fn is_disabled(&self, backend: BackendId) -> bool {
         self.overrides.borrow().is_disabled(backend)
     }
 
--- a/crates/sedgerun/src/dispatch_service/timers.rs
+++ b/crates/sedgerun/src/dispatch_service/timers.rs
@@ -7,23 +7,23 @@
 use tokio::sync::Notify;
 
 /// The one wake-up call, set for the dispatcher's next timer.
-pub(super) struct Alarm {
+pub(super) struct TimerWakeup {
     /// When the task of timers wakes by itself; the end of time: never.
-    set_for: Cell<Micros>,
-    rearm: Notify,
+    wakes_at: Cell<Micros>,
+    rescheduled: Notify,
 }
 
-impl Default for Alarm {
-    fn default() -> Alarm {
-        Alarm { set_for: Cell::new(Micros::MAX), rearm: Notify::new() }
+impl Default for TimerWakeup {
+    fn default() -> TimerWakeup {
+        TimerWakeup { wakes_at: Cell::new(Micros::MAX), rescheduled: Notify::new() }
     }
 }
 
-impl Alarm {
-    /// Has the task of timers look again where the next timer is earlier than the alarm.
+impl TimerWakeup {
+    /// Has the task of timers look again where the next timer is earlier than the timer_wakeup.
     pub fn wake_if_earlier(&self, next_timer: Option<Micros>) {
-        if next_timer.is_some_and(|due| due < self.set_for.get()) {
-            self.rearm.notify_one();
+        if next_timer.is_some_and(|due| due < self.wakes_at.get()) {
+            self.rescheduled.notify_one();
         }
     }
 }
@@ -33,9 +33,9 @@
     pub async fn run_timers(self: Rc<Self>) {
         loop {
             let next_timer = self.dispatcher.borrow().next_timer();
-            self.alarm.set_for.set(next_timer.unwrap_or(Micros::MAX));
+            self.timer_wakeup.wakes_at.set(next_timer.unwrap_or(Micros::MAX));
             let Some(due) = next_timer else {
-                self.alarm.rearm.notified().await;
+                self.timer_wakeup.rescheduled.notified().await;
                 continue;
             };
             let sleep = tokio::time::sleep_until(self.clock.instant(due).into());
@@ -44,7 +44,7 @@
                     let now = self.clock.now();
                     self.with_dispatcher(|dispatcher| dispatcher.run_expired_timers(now));
                 }
-                () = self.alarm.rearm.notified() => {}
+                () = self.timer_wakeup.rescheduled.notified() => {}
             }
         }
     }
--- a/crates/sedgerun/src/frontend/http/body.rs
+++ b/crates/sedgerun/src/frontend/http/body.rs
@@ -2,8 +2,8 @@
 
 use super::REQUEST_TIMEOUT;
 use super::error::RequestError;
-use crate::backend::answer::{MemoryBudget, MemoryReservation};
-use crate::backend::http::MOST_BODY;
+use crate::backend::http::MAX_UNRESERVED_BODY_BYTES;
+use crate::backend::{MemoryBudget, MemoryReservation};
 use actix_http::{Payload, Request};
 use bytes::{Bytes, BytesMut};
 use futures_util::StreamExt;
@@ -26,7 +26,7 @@
 
 /// The largest body that can ever be read, in bytes.
 pub(super) fn most_body(budget: &MemoryBudget) -> usize {
-    budget.max_body_bytes().max(MOST_BODY)
+    budget.max_body_bytes().max(MAX_UNRESERVED_BODY_BYTES)
 }
 
 /// Reads a request's body whole: a body over 64 KiB takes memory of the budget, or is rejected while there is none.
@@ -53,7 +53,7 @@
 
 /// How long a body may take from its request's first byte, by the length that it is expected to have.
 fn time_limit(expected: usize, most: usize) -> Duration {
-    let bytes = most.min(expected.max(MOST_BODY));
+    let bytes = most.min(expected.max(MAX_UNRESERVED_BODY_BYTES));
     REQUEST_TIMEOUT + Duration::from_secs_f64(bytes as f64 / SLOWEST_BODY_RATE)
 }
 
@@ -81,15 +81,16 @@
 impl BodyBuffer<'_> {
     /// A buffer with memory for the length that a body is expected to have.
     fn new(budget: &MemoryBudget, expected: usize) -> Result<BodyBuffer<'_>, RequestError> {
-        let reservation = if expected > MOST_BODY { Some(reserve(budget, expected)?) } else { None };
-        let bytes = BytesMut::with_capacity(expected.min(MOST_BODY));
+        let reservation =
+            if expected > MAX_UNRESERVED_BODY_BYTES { Some(reserve(budget, expected)?) } else { None };
+        let bytes = BytesMut::with_capacity(expected.min(MAX_UNRESERVED_BODY_BYTES));
         Ok(BodyBuffer { budget, bytes, reservation })
     }
 
     /// Adds a part. A body without a length, or longer than it said, takes its memory as it comes.
     fn append(&mut self, chunk: &[u8]) -> Result<(), RequestError> {
         let size = self.bytes.len() + chunk.len();
-        let reserved = self.reservation.as_ref().map_or(MOST_BODY, MemoryReservation::bytes);
+        let reserved = self.reservation.as_ref().map_or(MAX_UNRESERVED_BODY_BYTES, MemoryReservation::bytes);
         if size > reserved {
             let most = most_body(self.budget);
             if size > most {
--- a/crates/sedgerun/src/frontend/http/handler.rs
+++ b/crates/sedgerun/src/frontend/http/handler.rs
@@ -103,7 +103,7 @@
             .submit(spec, BackendRequest::Http(backend_request))
             .ok_or(RequestError::Rejected { retry_after_seconds: NOT_SUBMITTED_RETRY_SECONDS })?;
         let awaiting_answer = connection.map(ConnectionState::await_answer);
-        let answer = pending.answer().await;
+        let answer = pending.final_response().await;
         drop(awaiting_answer);
         match answer {
             FinalResponse::Served(BackendResponse::Http(body)) => Ok(body),
--- a/crates/sedgerun/src/frontend/http/mod.rs
+++ b/crates/sedgerun/src/frontend/http/mod.rs
@@ -30,7 +30,7 @@
 pub use connections::Connections;
 pub use idle::GIVE_WAY_TIME;
 
-use crate::backend::answer::MemoryBudget;
+use crate::backend::MemoryBudget;
 use crate::config::Config;
 use crate::dispatch_service::DispatchService;
 use crate::request_ids::RequestIds;
--- a/crates/sedgerun/src/frontend/ninep/submission.rs
+++ b/crates/sedgerun/src/frontend/ninep/submission.rs
@@ -44,8 +44,8 @@
             .dispatch
             .submit(spec, BackendRequest::Ninep(backend_request))
             .ok_or(NinePError::Rejected { retry_after: NOT_SUBMITTED_RETRY })?;
-        operation.request.set(Some(pending.request()));
-        let answer = pending.answer().await;
+        operation.request.set(Some(pending.id()));
+        let answer = pending.final_response().await;
         operation.request.set(None);
         match answer {
             FinalResponse::Served(BackendResponse::Ninep(message)) => Ok(message),
--- a/crates/sedgerun/src/head/drain.rs
+++ b/crates/sedgerun/src/head/drain.rs
@@ -52,7 +52,7 @@
         }
         let times = DrainTimes::new(&self.config.settings.classes);
         let answered_by = self.dispatch.clock().now() + times.answered_by.as_micros() as Micros;
-        self.dispatch.set_final_deadline(answered_by);
+        self.dispatch.set_shutdown_deadline(answered_by);
         let begun = Instant::now();
         while begun.elapsed() < ARRIVAL_TIME || (begun.elapsed() < times.stay && self.has_clients()) {
             self.http_frontend.connections.sweep(self.config.resource_limits.idle_client_threshold);
--- a/crates/sedgerun/src/head/mod.rs
+++ b/crates/sedgerun/src/head/mod.rs
@@ -16,7 +16,7 @@
 
 use crate::admin::AdminApi;
 use crate::backend::Backends;
-use crate::backend::answer::MemoryBudget;
+use crate::backend::MemoryBudget;
 use crate::backend::http::{ConnectionTimeouts, HttpBackend};
 use crate::backend::ninep::NinePBackend;
 use crate::clock::Clock;
@@ -259,7 +259,7 @@
         if descriptors.available() < limits.descriptors_for_backends {
             // Idle connections to backends are closed, and some of the idle clients: those that wait for an answer
             // need theirs.
-            self.dispatch.backends().http.shed_idle();
+            self.dispatch.backends().http.close_idle_connections();
             connections.close_idle(limits.descriptors_for_backends, GIVE_WAY_TIME);
         }
     }
--- a/crates/sedgerun/src/management/mod.rs
+++ b/crates/sedgerun/src/management/mod.rs
@@ -183,7 +183,7 @@
         let done = past_tense(disabled);
         tracing::info!("mgmt: {id} {done}");
         self.hand_over();
-        let stays_disabled = !disabled && self.dispatch.is_banned(backend);
+        let stays_disabled = !disabled && self.dispatch.is_disabled(backend);
         let remark = if stays_disabled { " here; the fleet's ban holds" } else { "" };
         format!("YES {id} {done}{remark}\n")
     }
