--- a/crates/sedgerun/src/backend/attempt_started.rs
+++ b/crates/sedgerun/src/backend/attempt_started.rs
@@ -21,6 +21,7 @@
         let _ = CURRENT_ATTEMPT.try_with(|started| started.0.set(true));
     }
 
+    /// Whether any part of the attempt has been passed to a connection.
     pub fn is_started(&self) -> bool {
         self.0.get()
     }
--- a/crates/sedgerun/src/backend/ninep/connection.rs
+++ b/crates/sedgerun/src/backend/ninep/connection.rs
@@ -1,7 +1,7 @@
-//! One connection to a 9P backend, shared by its attempts: calls and their replies, flushes, the end.
+//! A connection to a 9P backend, shared by all attempts at it: calls, responses, flushes and close.
 //!
-//! Two tasks serve it, one that writes queued frames and one that hands replies out; both end with the connection.
-//! It does no more than messages: what an operation takes is in [`super::operation`].
+//! Two tasks serve a connection: one writes queued frames, the other delivers responses. Both end with the connection.
+//! This module only exchanges messages; [`super::operation`] composes operations of them.
 
 use super::fids::{FidGuard, FidTable};
 use super::in_flight::InFlightTags;
@@ -17,24 +17,24 @@
 use tokio::sync::mpsc;
 use tokio::task::AbortHandle;
 
-/// Frames that may wait for a backend's socket: attempts at a backend are bounded well below it.
+/// Capacity of the queue of frames to write. The limit on attempts at a backend is well below it.
 const MAX_QUEUED_FRAMES: usize = 512;
 
-/// The connection could not be made, ended, or is of no further use.
+/// The connection could not be established, has ended, or is no longer usable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("the connection is lost")]
+#[error("connection to the 9P backend lost")]
 pub(super) struct ConnectionLost;
 
-/// A connection on which the version is agreed.
+/// A connection to a 9P backend.
 pub(super) struct Connection {
     frames: mpsc::Sender<Vec<u8>>,
     in_flight: RefCell<InFlightTags>,
     pub(super) fids: RefCell<FidTable>,
     is_closed: Cell<bool>,
-    /// The largest message that both sides take, in bytes.
+    /// The negotiated message size limit (`msize`), in bytes.
     max_message_bytes: Cell<u32>,
     tasks: RefCell<Vec<AbortHandle>>,
-    /// Held for as long as the connection.
+    /// Held for the lifetime of the connection.
     _descriptor: DescriptorPermit,
 }
 
@@ -44,23 +44,23 @@
     }
 }
 
-/// A call without its reply yet. Where it is dropped before the reply comes, it is flushed at the backend.
+/// A call that waits for its response. Dropping it before the response sends a `Tflush` to the backend.
 struct PendingCall<'a> {
     connection: &'a Connection,
     tag: u16,
-    is_done: bool,
+    is_complete: bool,
 }
 
 impl Drop for PendingCall<'_> {
     fn drop(&mut self) {
-        if !self.is_done {
+        if !self.is_complete {
             self.connection.flush(self.tag);
         }
     }
 }
 
 impl Connection {
-    /// Connects, and agrees on the version and the size of messages.
+    /// Connects, and negotiates the protocol version and the message size.
     pub(super) async fn open(
         address: SocketAddr,
         descriptor: DescriptorPermit,
@@ -79,7 +79,7 @@
             _descriptor: descriptor,
         });
         let writer = actix_rt::spawn(write_frames(queue, write_half));
-        let reader = actix_rt::spawn(deliver_replies(read_half, Rc::downgrade(&connection)));
+        let reader = actix_rt::spawn(deliver_responses(read_half, Rc::downgrade(&connection)));
         connection.tasks.borrow_mut().extend([writer.abort_handle(), reader.abort_handle()]);
         connection.negotiate_version().await?;
         Ok(connection)
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Ends the connection, and with it all calls that wait for a reply.
+    /// Closes the connection. Calls that wait for a response fail.
     pub(super) fn close(&self) {
         self.is_closed.set(true);
         self.in_flight.borrow_mut().clear();
@@ -107,22 +107,22 @@
         self.tasks.borrow().iter().for_each(AbortHandle::abort);
     }
 
-    /// Whether it still can be used: it is open, and no flush has been waiting for too long.
+    /// Whether the connection is open and no `Tflush` is overdue.
     pub(super) fn is_usable(&self) -> bool {
         !self.is_closed.get() && !self.in_flight.borrow().has_overdue_flush()
     }
 
-    /// The most data that one message can carry, in bytes.
+    /// The largest data payload of one message, in bytes.
     pub(super) fn max_data_bytes(&self) -> u32 {
         self.max_message_bytes.get() - IO_HEADER_SIZE
     }
 
-    /// A new fid, for one attempt unless it is kept.
+    /// A new fid, which becomes stale at the end of the attempt unless it is kept or cached.
     pub(super) fn new_fid(&self) -> FidGuard<'_> {
         FidGuard::new(&self.fids)
     }
 
-    /// Sends a message and waits for its reply. Dropping the future flushes the call.
+    /// Sends a message and waits for its response. Dropping the future sends a `Tflush` for the message.
     pub(super) async fn call(&self, message: Message) -> Result<Message, ConnectionLost> {
         self.call_with_tag(self.allocate_tag()?, message).await
     }
@@ -131,18 +131,18 @@
         if self.is_closed.get() {
             return Err(ConnectionLost);
         }
-        let reply = self.in_flight.borrow_mut().insert_call(tag);
-        let mut call = PendingCall { connection: self, tag, is_done: false };
+        let receiver = self.in_flight.borrow_mut().insert_call(tag);
+        let mut call = PendingCall { connection: self, tag, is_complete: false };
         let is_sent = self.send(tag, &message);
-        let reply = if is_sent { reply.await.map_err(|_| ConnectionLost) } else { Err(ConnectionLost) };
-        call.is_done = true;
+        let response = if is_sent { receiver.await.map_err(|_| ConnectionLost) } else { Err(ConnectionLost) };
+        call.is_complete = true;
         if !is_sent {
             self.in_flight.borrow_mut().remove(tag);
         }
-        reply
+        response
     }
 
-    /// Tells the backend that nobody waits for a call any more.
+    /// Sends a `Tflush` for a call whose caller has been dropped.
     fn flush(&self, flushed_tag: u16) {
         let Ok(tag) = self.allocate_tag() else { return };
         let mut in_flight = self.in_flight.borrow_mut();
@@ -152,14 +152,14 @@
         }
     }
 
-    /// Gives back the fids that earlier attempts have left. It is done with a new attempt, so that a backend that
-    /// is to get nothing new gets no clunks either.
+    /// Sends a `Tclunk` for each stale fid of earlier attempts. This is called at the start of an attempt, so that a
+    /// backend that receives no new attempts receives no clunks either.
     pub(super) fn clunk_stale(&self) {
         let stale = self.fids.borrow_mut().take_stale();
         for fid in stale {
             let Ok(tag) = self.allocate_tag() else { return };
             if self.send(tag, &Message::Tclunk { fid }) {
-                // Its reply, of whatever kind, frees the tag like a flush of itself.
+                // Recorded as a flush of its own tag: any response frees the tag.
                 self.in_flight.borrow_mut().insert_flush(tag, tag);
             }
         }
@@ -169,13 +169,13 @@
         self.in_flight.borrow_mut().next_free().ok_or(ConnectionLost)
     }
 
-    /// Queues a message; whether there was space for it, and the connection is open.
+    /// Queues a message. Returns `false` if the queue is full or the connection is closed.
     fn send(&self, tag: u16, message: &Message) -> bool {
         self.frames.try_send(message.encode(tag)).is_ok()
     }
 }
 
-/// Writes queued frames until the socket or the connection ends.
+/// Writes queued frames until the socket fails or the connection is dropped.
 async fn write_frames(mut queue: mpsc::Receiver<Vec<u8>>, mut write_half: OwnedWriteHalf) {
     while let Some(frame) = queue.recv().await {
         if write_half.write_all(&frame).await.is_err() {
@@ -184,8 +184,9 @@
     }
 }
 
-/// Hands replies out until the socket ends, which closes the connection, or the connection is dropped.
-async fn deliver_replies(mut read_half: OwnedReadHalf, connection: Weak<Connection>) {
+/// Delivers responses until the connection is dropped. Closes the connection at the end of the socket's stream or after
+/// a malformed message.
+async fn deliver_responses(mut read_half: OwnedReadHalf, connection: Weak<Connection>) {
     while let Ok((tag, message)) = read_message(&mut read_half).await {
         let Some(connection) = connection.upgrade() else { return };
         connection.in_flight.borrow_mut().deliver(tag, message);
@@ -195,7 +196,7 @@
     }
 }
 
-/// Reads one message off a backend's connection.
+/// Reads one message from a backend's connection.
 async fn read_message(read_half: &mut OwnedReadHalf) -> Result<(u16, Message), ConnectionLost> {
     let mut length = [0; 4];
     read_half.read_exact(&mut length).await.map_err(|_| ConnectionLost)?;
--- a/crates/sedgerun/src/backend/ninep/fids.rs
+++ b/crates/sedgerun/src/backend/ninep/fids.rs
@@ -1,10 +1,10 @@
-//! The fids of a connection: roots of trees, files that clients have open, and those that are of no more use.
+//! The fids of a connection: roots of trees, clients' open files, and stale fids to be clunked.
 
 use sedgerun_protocol_9p::{NO_FID, Qid};
 use std::cell::RefCell;
 use std::collections::HashMap;
 
-/// A user and a tree: what a root was attached for.
+/// The user and tree that a root is attached for.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct TreeKey {
     pub(super) uname: String,
@@ -22,40 +22,40 @@
 #[derive(Default)]
 pub(super) struct FidTable {
     last_fid: u32,
-    /// Roots that are attached; they stay for as long as the connection.
+    /// Attached roots, kept for the lifetime of the connection.
     pub(super) roots: HashMap<TreeKey, Root>,
-    /// The fids of clients' open files, by the clients' handles.
-    parked: HashMap<u64, u32>,
-    /// Fids that are still to be clunked at the backend.
+    /// Fids of clients' open files, by the clients' handles.
+    open_files: HashMap<u64, u32>,
+    /// Unused fids that are still to be clunked at the backend.
     stale: Vec<u32>,
 }
 
 impl FidTable {
-    /// The fid that is parked for a client's open file.
-    pub(super) fn parked(&self, handle: u64) -> Option<u32> {
-        self.parked.get(&handle).copied()
+    /// The fid cached for a client's open file.
+    pub(super) fn cached(&self, handle: u64) -> Option<u32> {
+        self.open_files.get(&handle).copied()
     }
 
-    /// Gives up what is parked for a client's open file.
+    /// Marks the fid cached for a client's open file as stale.
     pub(super) fn release(&mut self, handle: u64) {
-        if let Some(fid) = self.parked.remove(&handle) {
+        if let Some(fid) = self.open_files.remove(&handle) {
             self.stale.push(fid);
         }
     }
 
-    /// Takes out all fids that are of no more use.
+    /// Removes and returns all stale fids.
     pub(super) fn take_stale(&mut self) -> Vec<u32> {
         std::mem::take(&mut self.stale)
     }
 
-    fn park(&mut self, handle: u64, fid: u32) {
-        if let Some(previous) = self.parked.insert(handle, fid) {
+    fn cache(&mut self, handle: u64, fid: u32) {
+        if let Some(previous) = self.open_files.insert(handle, fid) {
             self.stale.push(previous);
         }
     }
 }
 
-/// A fid of one attempt. When it is dropped it becomes stale, to be clunked, unless it was kept or parked.
+/// A fid of one attempt. Dropping it marks the fid as stale, unless it was kept or cached.
 pub(super) struct FidGuard<'a> {
     table: &'a RefCell<FidTable>,
     fid: u32,
@@ -63,7 +63,7 @@
 }
 
 impl<'a> FidGuard<'a> {
-    /// A new fid.
+    /// Allocates a fid.
     pub(super) fn new(table: &'a RefCell<FidTable>) -> FidGuard<'a> {
         let mut fids = table.borrow_mut();
         fids.last_fid = (fids.last_fid + 1) % NO_FID;
@@ -74,17 +74,17 @@
         self.fid
     }
 
-    /// Leaves the fid to the caller.
+    /// Transfers the fid to the caller, so that it does not become stale.
     pub(super) fn keep(mut self) -> u32 {
         self.is_kept = true;
         self.fid
     }
 
-    /// Keeps the fid for later operations on a client's open file.
-    pub(super) fn park(self, handle: u64) {
+    /// Caches the fid for later operations on a client's open file. A fid cached before becomes stale.
+    pub(super) fn cache(self, handle: u64) {
         let table = self.table;
         let fid = self.keep();
-        table.borrow_mut().park(handle, fid);
+        table.borrow_mut().cache(handle, fid);
     }
 }
 
--- a/crates/sedgerun/src/backend/ninep/files.rs
+++ b/crates/sedgerun/src/backend/ninep/files.rs
@@ -1,17 +1,17 @@
-//! From a client's path to a fid of this connection: attach, walk, and open again what a client has open.
+//! Maps a client's path to a fid on a connection: attaches trees, walks paths and reopens a client's open files.
 //!
-//! An attempt walks from the backend's root, so that it needs nothing that an earlier one left there.
+//! An attempt walks from the backend's root and so needs no state of earlier attempts.
 
 use super::connection::{Connection, ConnectionLost};
 use super::fids::{FidGuard, Root, TreeKey};
 use super::request::{FileOperation, NinePBackendRequest};
 use sedgerun_protocol_9p::{MAX_WALK_NAMES, MODE_ACCESS_MASK, Message, NO_FID, QID_DIRECTORY};
 
-/// Why an operation does not go on.
+/// Why an operation ended before its last step.
 pub(super) enum OperationStopped {
-    /// The connection ended.
+    /// The connection was lost.
     ConnectionLost,
-    /// The backend replied to a step on the way with this, which is the reply to the operation.
+    /// The backend's response to an earlier step, such as an error, which becomes the response to the operation.
     Response(Message),
 }
 
@@ -21,7 +21,7 @@
     }
 }
 
-/// The root of the request's tree, attached where it is not yet.
+/// The root of the request's tree, which is attached on first use.
 pub(super) async fn attach(
     connection: &Connection,
     request: &NinePBackendRequest,
@@ -42,7 +42,7 @@
     }
 }
 
-/// A new fid for the request's file.
+/// Walks a new fid to the request's file.
 pub(super) async fn walk<'a>(
     connection: &'a Connection,
     request: &NinePBackendRequest,
@@ -68,13 +68,13 @@
     Ok(file)
 }
 
-/// The fid parked for a client's open file, or one opened again: without emptying the file, and for a
-/// directory read up to where the client is.
+/// The fid cached for a client's open file. If there is none, the file is opened again, without truncating it; a
+/// directory is then read up to the client's offset.
 pub(super) async fn resume(
     connection: &Connection,
     request: &NinePBackendRequest,
 ) -> Result<u32, OperationStopped> {
-    if let Some(fid) = connection.fids.borrow().parked(request.handle) {
+    if let Some(fid) = connection.fids.borrow().cached(request.handle) {
         return Ok(fid);
     }
     let file = walk(connection, request).await?;
@@ -86,19 +86,15 @@
     if let (FileOperation::Read { offset, .. }, true) = (&request.op, qid.kind & QID_DIRECTORY != 0) {
         skip_directory_entries(connection, fid, *offset).await?;
     }
-    file.park(request.handle);
+    file.cache(request.handle);
     Ok(fid)
 }
 
-/// Reads a directory up to an offset: the protocol lets it be read only in order.
-async fn skip_directory_entries(
-    connection: &Connection,
-    fid: u32,
-    until: u64,
-) -> Result<(), OperationStopped> {
+/// Reads a directory up to an offset, because 9P directories can only be read sequentially.
+async fn skip_directory_entries(connection: &Connection, fid: u32, end: u64) -> Result<(), OperationStopped> {
     let mut offset = 0;
-    while offset < until {
-        let count = (until - offset).min(u64::from(connection.max_data_bytes())) as u32;
+    while offset < end {
+        let count = (end - offset).min(u64::from(connection.max_data_bytes())) as u32;
         match connection.call(Message::Tread { fid, offset, count }).await? {
             Message::Rread { data } if !data.is_empty() => offset += data.len() as u64,
             Message::Rread { .. } => break,
--- a/crates/sedgerun/src/backend/ninep/in_flight.rs
+++ b/crates/sedgerun/src/backend/ninep/in_flight.rs
@@ -1,24 +1,24 @@
-//! The tags of a connection that are in use, and who waits for the reply to each.
+//! The tags in use on a connection, each with the receiver of its response.
 
 use sedgerun_protocol_9p::{Message, NO_TAG};
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 use tokio::sync::oneshot;
 
-/// A backend that has not answered a flush by then is given up, with its connection.
+/// Time for a backend to respond to a `Tflush`. After it the connection is unusable and is replaced.
 const FLUSH_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Who waits for the reply to a tag.
+/// The receiver of the response with a tag.
 enum Waiter {
-    /// The call that sent the message.
+    /// The caller that sent the message.
     Call(oneshot::Sender<Message>),
-    /// Nobody any more; the tag is free once it, or its flush, is answered.
+    /// The caller has been dropped. The tag stays in use until the response to its `Tflush`.
     Cancelled,
-    /// A flush of another tag, or a clunk in the way of a flush of itself.
+    /// A `Tflush` of another tag; or a `Tclunk`, which is recorded as a flush of its own tag.
     Flush { flushed_tag: u16, sent_at: Instant },
 }
 
-/// The tags in use of one connection.
+/// The tags in use on one connection.
 #[derive(Default)]
 pub(super) struct InFlightTags {
     waiters: HashMap<u16, Waiter>,
@@ -26,7 +26,7 @@
 }
 
 impl InFlightTags {
-    /// A tag that is not in use; `None` where all are. It stays free until something is sent with it.
+    /// A tag that is not in use; `None` if all are. It stays free until it is inserted here.
     pub(super) fn next_free(&mut self) -> Option<u16> {
         for _ in 0..u16::MAX {
             let tag = self.next_tag;
@@ -38,34 +38,34 @@
         None
     }
 
-    /// Notes a call, and gives what its reply comes through.
+    /// Records a call and returns the receiver of its response.
     pub(super) fn insert_call(&mut self, tag: u16) -> oneshot::Receiver<Message> {
-        let (sender, reply) = oneshot::channel();
+        let (sender, receiver) = oneshot::channel();
         self.waiters.insert(tag, Waiter::Call(sender));
-        reply
+        receiver
     }
 
-    /// Notes a flush that was sent now.
+    /// Records a `Tflush` that is sent now.
     pub(super) fn insert_flush(&mut self, tag: u16, flushed_tag: u16) {
         self.waiters.insert(tag, Waiter::Flush { flushed_tag, sent_at: Instant::now() });
     }
 
-    /// Notes that nobody waits for a tag's reply any more.
+    /// Marks a tag's caller as dropped.
     pub(super) fn cancel(&mut self, tag: u16) {
         self.waiters.insert(tag, Waiter::Cancelled);
     }
 
-    /// Frees a tag whose message was never sent.
+    /// Frees a tag whose message was not sent.
     pub(super) fn remove(&mut self, tag: u16) {
         self.waiters.remove(&tag);
     }
 
-    /// Frees all tags: their calls end without a reply.
+    /// Frees all tags. Pending calls end without a response.
     pub(super) fn clear(&mut self) {
         self.waiters.clear();
     }
 
-    /// Hands a reply to who waits for it.
+    /// Delivers a response to the receiver of its tag.
     pub(super) fn deliver(&mut self, tag: u16, message: Message) {
         match self.waiters.remove(&tag) {
             Some(Waiter::Call(call)) => {
@@ -74,13 +74,13 @@
             Some(Waiter::Flush { flushed_tag, .. }) => {
                 self.waiters.remove(&flushed_tag);
             }
-            // The flush that follows frees the tag; until then it stays in use.
+            // The tag stays in use until the response to its Tflush, which follows.
             Some(Waiter::Cancelled) => self.cancel(tag),
             None => {}
         }
     }
 
-    /// Whether a flush has been waiting for too long.
+    /// Whether a `Tflush` has had no response for longer than [`FLUSH_TIMEOUT`].
     pub(super) fn has_overdue_flush(&self) -> bool {
         self.waiters.values().any(
             |waiter| matches!(waiter, Waiter::Flush { sent_at, .. } if sent_at.elapsed() > FLUSH_TIMEOUT),
--- a/crates/sedgerun/src/backend/ninep/mod.rs
+++ b/crates/sedgerun/src/backend/ninep/mod.rs
@@ -1,7 +1,7 @@
-//! Attempts over 9P: one connection a backend, shared by its attempts, each with tags and fids of its own.
+//! Attempts over 9P. All attempts at a backend share one connection; each uses its own tags and fids.
 //!
-//! An attempt walks from the backend's root, so that it needs nothing that an earlier one left there. A fid that
-//! it has opened is parked under the client's handle, and the next attempt at the same backend takes it up.
+//! An attempt walks from the backend's root and so needs no state of earlier attempts. After it has opened a file, the
+//! fid is cached under the client's handle, and later attempts at the same backend reuse it.
 
 mod connection;
 mod fids;
@@ -25,12 +25,12 @@
 use std::time::Duration;
 use tokio::sync::Mutex;
 
-/// A backend's connection, once there is one; locked while it is being made.
+/// A backend's connection; `None` before it is first opened. The lock is held while the connection is opened.
 type SharedConnection = Rc<Mutex<Option<Rc<Connection>>>>;
 
-/// The 9P client of the program.
+/// The 9P client for all backends.
 pub struct NinePBackend {
-    /// The 9P addresses of backends.
+    /// 9P addresses by backend.
     pub addresses: RefCell<BTreeMap<BackendId, SocketAddr>>,
     connections: RefCell<HashMap<BackendId, SharedConnection>>,
     connect_timeout: Duration,
@@ -38,7 +38,8 @@
 }
 
 impl NinePBackend {
-    /// A client that knows no backend yet. A connection not made within `connect_timeout` is given up.
+    /// Creates a client with no backend known yet. `connect_timeout` limits opening a connection, including version
+    /// negotiation.
     pub fn new(connect_timeout: Duration, descriptors: Descriptors) -> NinePBackend {
         NinePBackend {
             addresses: RefCell::default(),
@@ -48,7 +49,8 @@
         }
     }
 
-    /// The connection to a backend. Attempts that find none wait for the one that makes it.
+    /// The connection to a backend, which is opened if there is no usable one. Concurrent attempts wait for the attempt
+    /// that opens it.
     async fn connection(
         &self,
         backend: BackendId,
@@ -71,7 +73,7 @@
         Ok(connection)
     }
 
-    /// Makes one attempt. Dropping the future flushes what it has in flight.
+    /// Makes one attempt. Dropping the future sends a `Tflush` for the message in flight.
     pub async fn attempt(
         &self,
         backend: BackendId,
@@ -89,7 +91,7 @@
                 response: Some(BackendResponse::Ninep(message)),
                 ..AttemptResult::without_response(AttemptEnd::Ok)
             },
-            // Broken off before the message that takes effect has left: it never ran.
+            // The connection was lost before the message with an effect was sent: the operation never ran.
             Err(ConnectionLost) if !operation.effect_sent() => {
                 AttemptResult::without_response(AttemptEnd::ConnectFailed)
             }
@@ -97,7 +99,8 @@
         }
     }
 
-    /// A client's open file is closed: the backends are notified with their next attempts.
+    /// Releases the fids cached for a client's file, which the client has closed. Each backend receives the `Tclunk` with
+    /// its next attempt.
     pub fn release(&self, handle: u64) {
         for shared in self.connections.borrow().values() {
             let Ok(current) = shared.try_lock() else { continue };
--- a/crates/sedgerun/src/backend/ninep/operation.rs
+++ b/crates/sedgerun/src/backend/ninep/operation.rs
@@ -1,4 +1,4 @@
-//! Runs one operation of a 9P client as messages on a backend's connection.
+//! Runs one operation of a 9P client as a sequence of messages on a backend's connection.
 
 use super::connection::{Connection, ConnectionLost};
 use super::fids::FidGuard;
@@ -7,9 +7,9 @@
 use bytes::Bytes;
 use sedgerun_protocol_9p::{MODE_REMOVE_ON_CLOSE, Message};
 
-type Reply = Result<Message, OperationStopped>;
+type OperationResult = Result<Message, OperationStopped>;
 
-/// One operation on its way.
+/// One operation in progress.
 pub(super) struct Operation<'a> {
     connection: &'a Connection,
     request: &'a NinePBackendRequest,
@@ -21,25 +21,25 @@
         Operation { connection, request, effect_sent: false }
     }
 
-    /// Whether the message that may take effect has left.
+    /// Whether the message that may have an effect at the backend has been sent.
     pub(super) fn effect_sent(&self) -> bool {
         self.effect_sent
     }
 
-    /// Runs the operation to the backend's reply.
+    /// Runs the operation and returns the backend's response.
     ///
     /// # Errors
     ///
-    /// The connection is lost; whether anything may have run, [`effect_sent`](Self::effect_sent) says.
+    /// The connection was lost. [`effect_sent`](Self::effect_sent) tells whether the operation may have run.
     pub(super) async fn run(&mut self) -> Result<Message, ConnectionLost> {
         self.connection.clunk_stale();
         match self.execute().await {
-            Ok(reply) | Err(OperationStopped::Response(reply)) => Ok(reply),
+            Ok(response) | Err(OperationStopped::Response(response)) => Ok(response),
             Err(OperationStopped::ConnectionLost) => Err(ConnectionLost),
         }
     }
 
-    async fn execute(&mut self) -> Reply {
+    async fn execute(&mut self) -> OperationResult {
         match &self.request.op {
             FileOperation::Attach => {
                 let root = attach(self.connection, self.request).await?;
@@ -60,59 +60,59 @@
             }
             FileOperation::Remove => {
                 let file = self.walk().await?;
-                let fid = file.keep(); // a remove gives the fid back, whatever the reply
+                let fid = file.keep(); // Tremove clunks the fid even if it fails
                 self.call_with_effect(Message::Tremove { fid }).await
             }
         }
     }
 
-    async fn walk_names(&self, names: &[String]) -> Reply {
+    async fn walk_names(&self, names: &[String]) -> OperationResult {
         let from = self.walk().await?;
         let to = self.connection.new_fid();
         let walk = Message::Twalk { fid: from.fid(), newfid: to.fid(), names: names.to_vec() };
         Ok(self.connection.call(walk).await?)
     }
 
-    async fn open(&mut self, mode: u8) -> Reply {
+    async fn open(&mut self, mode: u8) -> OperationResult {
         let file = self.walk().await?;
         let open = Message::Topen { fid: file.fid(), mode: mode & !MODE_REMOVE_ON_CLOSE };
-        let reply = self.call_with_effect(open).await?;
-        if matches!(reply, Message::Ropen { .. }) {
-            file.park(self.request.handle);
+        let response = self.call_with_effect(open).await?;
+        if matches!(response, Message::Ropen { .. }) {
+            file.cache(self.request.handle);
         }
-        Ok(reply)
+        Ok(response)
     }
 
-    async fn create(&mut self, name: &str, perm: u32, mode: u8) -> Reply {
+    async fn create(&mut self, name: &str, perm: u32, mode: u8) -> OperationResult {
         let file = self.walk().await?;
         let (name, mode) = (name.to_owned(), mode & !MODE_REMOVE_ON_CLOSE);
-        let reply = self.call_with_effect(Message::Tcreate { fid: file.fid(), name, perm, mode }).await?;
-        if matches!(reply, Message::Rcreate { .. }) {
-            file.park(self.request.handle);
+        let response = self.call_with_effect(Message::Tcreate { fid: file.fid(), name, perm, mode }).await?;
+        if matches!(response, Message::Rcreate { .. }) {
+            file.cache(self.request.handle);
         }
-        Ok(reply)
+        Ok(response)
     }
 
-    async fn read(&self, offset: u64, count: u32) -> Reply {
+    async fn read(&self, offset: u64, count: u32) -> OperationResult {
         let count = count.min(self.connection.max_data_bytes());
         let fid = resume(self.connection, self.request).await?;
         Ok(self.connection.call(Message::Tread { fid, offset, count }).await?)
     }
 
-    async fn write(&mut self, offset: u64, data: &Bytes) -> Reply {
-        let most = self.connection.max_data_bytes() as usize;
+    async fn write(&mut self, offset: u64, data: &Bytes) -> OperationResult {
+        let max_bytes = self.connection.max_data_bytes() as usize;
         let fid = resume(self.connection, self.request).await?;
-        let data = data.slice(..data.len().min(most));
+        let data = data.slice(..data.len().min(max_bytes));
         self.call_with_effect(Message::Twrite { fid, offset, data }).await
     }
 
-    /// A new fid for the request's file.
+    /// Walks a new fid to the request's file.
     async fn walk(&self) -> Result<FidGuard<'a>, OperationStopped> {
         walk(self.connection, self.request).await
     }
 
-    /// Calls with the message that may take effect.
-    async fn call_with_effect(&mut self, message: Message) -> Reply {
+    /// Sends the message that may have an effect at the backend, and waits for its response.
+    async fn call_with_effect(&mut self, message: Message) -> OperationResult {
         self.effect_sent = true;
         Ok(self.connection.call(message).await?)
     }
--- a/crates/sedgerun/src/backend/ninep/request.rs
+++ b/crates/sedgerun/src/backend/ninep/request.rs
@@ -1,12 +1,12 @@
-//! What a 9P client wants of a backend, apart from the connection and the fids that serve it.
+//! A 9P client's operation, independent of the connection and fids that serve it.
 
 use bytes::Bytes;
 
-/// What a client wants of a file.
+/// An operation on a file.
 #[derive(Clone, Debug, PartialEq)]
 #[allow(missing_docs, reason = "the fields are those of the protocol's messages")]
 pub enum FileOperation {
-    /// The root's qid.
+    /// Returns the qid of the tree's root.
     Attach,
     Walk {
         names: Vec<String>,
@@ -34,18 +34,18 @@
     Remove,
 }
 
-/// One operation of a 9P client.
+/// One operation of a 9P client, with the file that it applies to.
 #[derive(Debug)]
 pub struct NinePBackendRequest {
-    /// The user.
+    /// User name for the attach.
     pub uname: String,
-    /// The tree at the backend.
+    /// Name of the file tree at the backend (`aname`).
     pub tree: String,
-    /// The file, from the tree's root.
+    /// Path of the file from the tree's root.
     pub path: Vec<String>,
-    /// What the client's open file is parked under.
+    /// Handle of the client's open file, under which its fid is cached.
     pub handle: u64,
-    /// The access that it was opened for.
+    /// The mode that the client opened the file with.
     pub mode: u8,
     /// The operation.
     pub op: FileOperation,
--- a/crates/sedgerun/src/dispatch_service/attempts.rs
+++ b/crates/sedgerun/src/dispatch_service/attempts.rs
@@ -6,7 +6,7 @@
 use std::collections::HashMap;
 use tokio::task::AbortHandle;
 
-/// Names an attempt.
+/// Identifies an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) struct AttemptKey {
     /// The request.
@@ -17,37 +17,36 @@
 
 /// The task of an attempt in flight.
 pub(super) struct AttemptTask {
-    /// Where the attempt goes.
+    /// The attempt's backend.
     pub backend: BackendId,
-    /// Set once anything of the attempt may have been written.
+    /// Set once any part of the request may have been written.
     pub started: AttemptStarted,
-    /// Ends the task.
+    /// Aborts the task.
     pub handle: AbortHandle,
 }
 
 impl AttemptTask {
-    /// Ends the task where it stands.
     pub fn abort(self) {
         self.handle.abort();
     }
 }
 
-/// All attempts in flight.
+/// The tasks of all attempts in flight.
 #[derive(Default)]
 pub(super) struct AttemptTasks(RefCell<HashMap<AttemptKey, AttemptTask>>);
 
 impl AttemptTasks {
-    /// Adds an attempt that has just begun.
+    /// Adds an attempt that has just been spawned.
     pub fn insert(&self, key: AttemptKey, task: AttemptTask) {
         self.0.borrow_mut().insert(key, task);
     }
 
-    /// Takes an attempt out, if it is in flight.
+    /// Removes and returns an attempt; `None` if it is not in flight.
     pub fn remove(&self, key: AttemptKey) -> Option<AttemptTask> {
         self.0.borrow_mut().remove(&key)
     }
 
-    /// Those of the attempts of which nothing has been written yet.
+    /// The attempts that match `is_affected` and of which nothing has been written yet.
     pub fn unsent(&self, is_affected: impl Fn(&AttemptKey, &AttemptTask) -> bool) -> Vec<AttemptKey> {
         let tasks = self.0.borrow();
         let unsent = tasks.iter().filter(|(key, task)| !task.started.is_started() && is_affected(key, task));
--- a/crates/sedgerun/src/dispatch_service/effects.rs
+++ b/crates/sedgerun/src/dispatch_service/effects.rs
@@ -1,4 +1,4 @@
-//! Carries out what the dispatcher wants: attempts begun and abandoned, answers given to their clients.
+//! Applies the dispatcher's effects: starts and cancels attempts, and sends final responses to clients.
 
 use super::DispatchService;
 use super::attempts::{AttemptKey, AttemptTask};
@@ -8,8 +8,8 @@
 use std::rc::Rc;
 
 impl DispatchService {
-    /// Carries out the dispatcher's effects in their order. What follows while one is carried out queues up
-    /// behind it.
+    /// Applies the dispatcher's effects in order. Effects that arise while one is applied are queued and applied by the
+    /// outer call.
     pub(super) fn apply_effects(self: &Rc<Self>) {
         if self.is_applying_effects.replace(true) {
             return;
@@ -33,11 +33,11 @@
         self: &Rc<Self>,
         key: AttemptKey,
         backend: BackendId,
-        until: Micros,
+        deadline: Micros,
         payload: Rc<BackendRequest>,
     ) {
         let service = Rc::clone(self);
-        let time_left = until.saturating_sub(self.clock.now());
+        let time_left = deadline.saturating_sub(self.clock.now());
         let started = AttemptStarted::default();
         let marker = started.clone();
         let task = actix_rt::spawn(async move {
@@ -52,16 +52,16 @@
     fn cancel_attempt(&self, key: AttemptKey) {
         if let Some(task) = self.attempts.remove(key) {
             task.abort();
-            // Abandoned in flight: it was written, or as good as.
+            // The attempt was cancelled in flight, so it counts as written to the backend.
             self.count_relayed(key.id);
         }
     }
 
     fn send_response(&self, id: RequestId, response: FinalResponse<BackendResponse>) {
-        let client = self.clients.borrow_mut().remove(&id);
-        if let Some(client) = client {
-            // The client may have disconnected in the meantime; then nobody waits for the answer.
-            let _ = client.response.send(response);
+        let request = self.open_requests.borrow_mut().remove(&id);
+        if let Some(request) = request {
+            // Sending fails if the client has disconnected in the meantime.
+            let _ = request.response_sender.send(response);
         }
         self.response_sent.notify_waiters();
     }
--- a/crates/sedgerun/src/dispatch_service/mod.rs
+++ b/crates/sedgerun/src/dispatch_service/mod.rs
@@ -1,12 +1,12 @@
-//! Where frontends and backends meet: the dispatcher of `sedgerun-dispatch` on sockets and on the clock.
+//! Connects front ends and backends: runs the dispatcher of `sedgerun-dispatch` with real sockets and a real clock.
 //!
-//! There is one [`DispatchService`] a program, shared by all tasks of its one thread. It owns the dispatcher, the
-//! tasks of attempts in flight, the clients that wait for answers and the operators' overrides. Whoever brings an
-//! event in also carries out the effects that follow from it, before the call returns.
+//! A process has one [`DispatchService`], which all tasks of its single thread share. It owns the dispatcher, the tasks
+//! of attempts in flight, the senders of final responses and the operators' overrides. Each method that passes an
+//! event to the dispatcher also applies the resulting effects before it returns.
 //!
-//! This module takes requests and events, `effects` carries out what the dispatcher wants, `attempts` keeps the tasks
-//! of attempts, `pending_request` is a client's side of a request, `overrides` takes backends out of rotation, and
-//! `timers` wakes the dispatcher.
+//! This module accepts requests and events, `effects` applies the dispatcher's effects, `attempts` holds the tasks of
+//! attempts, `pending_request` is the client's side of a request, `overrides` disables and enables backends, and
+//! `timers` runs the dispatcher's timers.
 
 mod attempts;
 mod effects;
@@ -21,7 +21,7 @@
 use crate::metrics::{Metrics, OperationStatus};
 use attempts::{AttemptKey, AttemptTask, AttemptTasks};
 use futures_util::FutureExt;
-use pending_request::ResponseReceiver;
+use pending_request::OpenRequest;
 use sedgerun_dispatch::{AttemptResult, BackendOverrides, Dispatcher, RequestSpec};
 use sedgerun_policy::{AttemptEnd, BackendId, Endpoint, Micros, Readiness, RequestId, Settings, UpdateScope};
 use std::cell::{Cell, RefCell};
@@ -30,30 +30,30 @@
 use timers::TimerWakeup;
 use tokio::sync::{Notify, oneshot};
 
-/// Ends of attempts of which nothing was written to a backend.
+/// Outcomes of attempts of which nothing was written to a backend.
 const UNSENT_ENDS: [AttemptEnd; 3] =
     [AttemptEnd::ConnectFailed, AttemptEnd::ConnectTimeout, AttemptEnd::CancelledUnsent];
 
-/// The dispatcher on sockets.
+/// The dispatcher with its I/O.
 pub struct DispatchService {
     clock: Clock,
     dispatcher: RefCell<Dispatcher<BackendRequest, BackendResponse>>,
     backends: Backends,
-    /// The clients of open requests.
-    clients: RefCell<HashMap<RequestId, ResponseReceiver>>,
+    /// The requests without a final response.
+    open_requests: RefCell<HashMap<RequestId, OpenRequest>>,
     attempts: AttemptTasks,
     overrides: RefCell<BackendOverrides>,
     is_applying_effects: Cell<bool>,
     timer_wakeup: TimerWakeup,
     watch_request: Notify,
-    /// Notified when a request got its final answer.
+    /// Notified when a request has received its final response.
     pub response_sent: Notify,
-    /// What operators read.
+    /// Counters for the operators.
     pub metrics: Metrics,
 }
 
 impl DispatchService {
-    /// A service round a fresh dispatcher, with a bound on the number of open requests.
+    /// Creates a service with a new dispatcher, which accepts up to `max_open_requests` open requests.
     pub fn new(
         clock: Clock,
         settings: Settings,
@@ -65,7 +65,7 @@
             clock,
             dispatcher: RefCell::new(Dispatcher::new(settings, seed, max_open_requests)),
             backends,
-            clients: RefCell::default(),
+            open_requests: RefCell::default(),
             attempts: AttemptTasks::default(),
             overrides: RefCell::default(),
             is_applying_effects: Cell::new(false),
@@ -76,17 +76,17 @@
         })
     }
 
-    /// The program's clock.
+    /// The clock of the process.
     pub fn clock(&self) -> Clock {
         self.clock
     }
 
-    /// The backends, which know the addresses.
+    /// The clients, names and addresses of the backends.
     pub fn backends(&self) -> &Backends {
         &self.backends
     }
 
-    /// The number of requests without a final answer.
+    /// The number of requests without a final response.
     pub fn open_requests(&self) -> usize {
         self.dispatcher.borrow().open_requests()
     }
@@ -96,22 +96,22 @@
         self.dispatcher.borrow().has_attempt_at(backend)
     }
 
-    /// From now on requests are answered by this time.
+    /// Sets the time by which all requests receive a final response, for a graceful shutdown.
     pub fn set_shutdown_deadline(&self, at: Micros) {
         self.dispatcher.borrow_mut().set_shutdown_deadline(at);
     }
 
-    /// Takes a request; `None` where as many are open as may be.
+    /// Submits a request; `None` if the limit of open requests is reached.
     pub fn submit(self: &Rc<Self>, spec: RequestSpec, payload: BackendRequest) -> Option<PendingRequest> {
         let (sender, receiver) = oneshot::channel();
         let class = spec.class;
         let id = self.dispatcher.borrow_mut().submit(self.clock.now(), spec, payload)?;
-        self.clients.borrow_mut().insert(id, ResponseReceiver { class, response: sender });
+        self.open_requests.borrow_mut().insert(id, OpenRequest { class, response_sender: sender });
         self.apply_effects();
         Some(PendingRequest::new(Rc::clone(self), id, receiver))
     }
 
-    /// Notes how an attempt ended.
+    /// Reports the result of an attempt to the dispatcher.
     pub fn attempt_ended(
         self: &Rc<Self>,
         id: RequestId,
@@ -126,34 +126,35 @@
         self.with_dispatcher(|dispatcher| dispatcher.attempt_ended(now, id, attempt, result));
     }
 
-    /// The client has cancelled a request: it gets the response of an attempt in flight, and no attempt begins any
-    /// more.
+    /// Cancels a request for its client. The client still receives the response of an attempt in flight; no further
+    /// attempt starts.
     pub fn cancel(self: &Rc<Self>, id: RequestId) {
         let now = self.clock.now();
         self.with_dispatcher(|dispatcher| dispatcher.cancel(now, id));
         self.cancel_unsent(|key, _| key.id == id);
     }
 
-    /// Brings an update of the endpoint list. Backends that operators have disabled are shown as draining.
+    /// Applies an update of the endpoint list. Backends that operators have disabled are passed on as draining.
     pub fn update_endpoints(self: &Rc<Self>, scope: UpdateScope, endpoints: Vec<Endpoint>) {
         let now = self.clock.now();
         let endpoints = self.overrides.borrow_mut().filter(scope, endpoints);
         self.notify_controller(now, scope, endpoints);
     }
 
-    /// Waits until the controller wants a subscription to the endpoint list.
+    /// Waits until the controller requests a subscription to the endpoint list.
     pub async fn watch_requested(&self) {
         self.watch_request.notified().await;
     }
 
-    /// Discards a wish for a subscription that nobody has acted on. Guards against one from before a failed poll,
-    /// which would cut the backoff after it short.
+    /// Discards a pending request for a subscription. A request from before a failed poll would otherwise cut short the
+    /// backoff after it.
     pub fn discard_watch_request(&self) {
         let _ = self.watch_request.notified().now_or_never();
     }
 
-    /// Brings an update of the list as the controller is to have it. Attempts at backends that take nothing new, of
-    /// which nothing has been written yet, are cancelled: their connection may come up long after the grace period.
+    /// Passes an update of the endpoint list, with the overrides applied, to the controller. Attempts at backends that no
+    /// longer accept requests are cancelled if nothing of them has been written yet: their connection might be
+    /// established long after the grace period.
     fn notify_controller(self: &Rc<Self>, now: Micros, scope: UpdateScope, endpoints: Vec<Endpoint>) {
         let is_ready: BTreeMap<BackendId, bool> = endpoints
             .iter()
@@ -164,7 +165,7 @@
         self.cancel_unsent(|_, task| !is_ready.get(&task.backend).copied().unwrap_or(!is_complete));
     }
 
-    /// Cancels those of the attempts of which nothing has been written: they never ran.
+    /// Cancels the attempts that match `is_affected` and of which nothing has been written; they never ran.
     fn cancel_unsent(self: &Rc<Self>, is_affected: impl Fn(&AttemptKey, &AttemptTask) -> bool) {
         for key in self.attempts.unsent(is_affected) {
             if let Some(task) = self.attempts.remove(key) {
@@ -178,12 +179,12 @@
 
     /// Counts an attempt that was written to a backend, by the class of its request.
     fn count_relayed(&self, id: RequestId) {
-        if let Some(client) = self.clients.borrow().get(&id) {
-            self.metrics.count(client.class, OperationStatus::Relayed);
+        if let Some(request) = self.open_requests.borrow().get(&id) {
+            self.metrics.count(request.class, OperationStatus::Relayed);
         }
     }
 
-    /// Brings an event to the dispatcher, and carries out what follows.
+    /// Passes an event to the dispatcher and applies the resulting effects.
     fn with_dispatcher(
         self: &Rc<Self>,
         event: impl FnOnce(&mut Dispatcher<BackendRequest, BackendResponse>),
--- a/crates/sedgerun/src/dispatch_service/overrides.rs
+++ b/crates/sedgerun/src/dispatch_service/overrides.rs
@@ -1,5 +1,5 @@
-//! Backends that operators take out of rotation, at this head or through the cluster. What the controller is shown
-//! follows at once.
+//! Backends that operators disable at this head or through the cluster. The controller is notified of each change at
+//! once.
 
 use super::DispatchService;
 use sedgerun_dispatch::OverrideError;
@@ -18,7 +18,7 @@
         self.overrides.borrow().disabled_by_head().collect()
     }
 
-    /// The number of backends on the list, and of those of them that are out of rotation.
+    /// The number of backends on the endpoint list, and the number of these that are out of rotation.
     pub fn rotation(&self) -> (usize, usize) {
         let overrides = self.overrides.borrow();
         (overrides.listed_count(), overrides.out_of_rotation_count())
@@ -39,14 +39,14 @@
         Ok(())
     }
 
-    /// Takes over the backends that another process of this head has disabled.
+    /// Sets the backends disabled at this head to those received from another process of this head.
     pub fn set_disabled_by_head(self: &Rc<Self>, disabled: BTreeSet<BackendId>) {
         let now = self.clock.now();
         let changes = self.overrides.borrow_mut().set_disabled_by_head(disabled, now);
         self.notify_of_changes(now, changes);
     }
 
-    /// From now on these are the backends, by name, that the cluster disables.
+    /// Sets the backends, by name, that are disabled through the cluster.
     pub fn set_disabled_by_cluster<'a>(self: &Rc<Self>, names: impl Iterator<Item = &'a String>) {
         let now = self.clock.now();
         let disabled = names.map(|name| self.backends.names.id_of(name)).collect();
@@ -54,7 +54,7 @@
         self.notify_of_changes(now, changes);
     }
 
-    /// Shows the controller the entries that an override changed, as changes of the list.
+    /// Sends the endpoints that an override changed to the controller as a delta of the endpoint list.
     fn notify_of_changes(self: &Rc<Self>, now: Micros, changes: Vec<Endpoint>) {
         if !changes.is_empty() {
             self.notify_controller(now, UpdateScope::Delta, changes);
--- a/crates/sedgerun/src/dispatch_service/pending_request.rs
+++ b/crates/sedgerun/src/dispatch_service/pending_request.rs
@@ -7,15 +7,15 @@
 use std::rc::Rc;
 use tokio::sync::oneshot;
 
-/// The client of an open request, as the service knows it.
-pub(super) struct ResponseReceiver {
+/// The service's side of an open request.
+pub(super) struct OpenRequest {
     /// Index of the request's class, for the metrics.
     pub class: usize,
-    /// Where the final answer goes.
-    pub response: oneshot::Sender<FinalResponse<BackendResponse>>,
+    /// Sends the final response to the [`PendingRequest`].
+    pub response_sender: oneshot::Sender<FinalResponse<BackendResponse>>,
 }
 
-/// An open request. Dropped before its answer, it notifies the dispatcher that the client has disconnected.
+/// An open request. Dropping it before the final response notifies the dispatcher that the client has disconnected.
 pub struct PendingRequest {
     service: Rc<DispatchService>,
     id: RequestId,
@@ -37,7 +37,7 @@
         self.id
     }
 
-    /// Waits for the final answer.
+    /// Waits for the final response.
     pub async fn final_response(mut self) -> FinalResponse<BackendResponse> {
         let response = (&mut self.response).await;
         self.is_complete = true;
@@ -54,9 +54,10 @@
 }
 
 impl DispatchService {
-    /// The client of a request has disconnected. Attempts of which nothing has been written are cancelled.
+    /// Notifies the dispatcher that the client of a request has disconnected. Attempts of which nothing has been written
+    /// are cancelled.
     fn disconnect(self: &Rc<Self>, id: RequestId) {
-        self.clients.borrow_mut().remove(&id);
+        self.open_requests.borrow_mut().remove(&id);
         let now = self.clock.now();
         self.with_dispatcher(|dispatcher| dispatcher.client_disconnected(now, id));
         self.cancel_unsent(|key, _| key.id == id);
--- a/crates/sedgerun/src/dispatch_service/timers.rs
+++ b/crates/sedgerun/src/dispatch_service/timers.rs
@@ -1,4 +1,4 @@
-//! Wakes the dispatcher when its next timer is due.
+//! Runs the dispatcher's timers when they expire.
 
 use super::DispatchService;
 use sedgerun_policy::Micros;
@@ -6,9 +6,9 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// The one wake-up call, set for the dispatcher's next timer.
+/// The wake-up time of the timer task, which follows the dispatcher's earliest timer.
 pub(super) struct TimerWakeup {
-    /// When the task of timers wakes by itself; the end of time: never.
+    /// When the timer task wakes up; `Micros::MAX` if no timer is set.
     wakes_at: Cell<Micros>,
     rescheduled: Notify,
 }
@@ -20,9 +20,9 @@
 }
 
 impl TimerWakeup {
-    /// Has the task of timers look again where the next timer is earlier than the timer_wakeup.
+    /// Makes the timer task reschedule its wake-up if the next timer expires earlier.
     pub fn wake_if_earlier(&self, next_timer: Option<Micros>) {
-        if next_timer.is_some_and(|due| due < self.wakes_at.get()) {
+        if next_timer.is_some_and(|expiry| expiry < self.wakes_at.get()) {
             self.rescheduled.notify_one();
         }
     }
@@ -34,11 +34,11 @@
         loop {
             let next_timer = self.dispatcher.borrow().next_timer();
             self.timer_wakeup.wakes_at.set(next_timer.unwrap_or(Micros::MAX));
-            let Some(due) = next_timer else {
+            let Some(expiry) = next_timer else {
                 self.timer_wakeup.rescheduled.notified().await;
                 continue;
             };
-            let sleep = tokio::time::sleep_until(self.clock.instant(due).into());
+            let sleep = tokio::time::sleep_until(self.clock.instant(expiry).into());
             tokio::select! {
                 () = sleep => {
                     let now = self.clock.now();
