--- a/crates/sedgerun/src/dispatch_service/timers.rs
+++ b/crates/sedgerun/src/dispatch_service/timers.rs
@@ -1,4 +1,4 @@
-//! Wakes the dispatcher when its next timer is due.
+//! Runs the dispatcher's timers when they expire.
 
 use super::DispatchService;
 use sedgerun_policy::Micros;
@@ -6,24 +6,24 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// The one wake-up call, set for the dispatcher's next timer.
-pub(super) struct Alarm {
-    /// When the task of timers wakes by itself; the end of time: never.
-    set_for: Cell<Micros>,
-    rearm: Notify,
+/// The wake-up time of the timer task, which follows the dispatcher's earliest timer.
+pub(super) struct TimerWakeup {
+    /// When the timer task wakes up; `Micros::MAX` if no timer is set.
+    wakes_at: Cell<Micros>,
+    rescheduled: Notify,
 }
 
-impl Default for Alarm {
-    fn default() -> Alarm {
-        Alarm { set_for: Cell::new(Micros::MAX), rearm: Notify::new() }
+impl Default for TimerWakeup {
+    fn default() -> TimerWakeup {
+        TimerWakeup { wakes_at: Cell::new(Micros::MAX), rescheduled: Notify::new() }
     }
 }
 
-impl Alarm {
-    /// Has the task of timers look again where the next timer is earlier than the alarm.
+impl TimerWakeup {
+    /// Makes the timer task reschedule its wake-up if the next timer expires earlier.
     pub fn wake_if_earlier(&self, next_timer: Option<Micros>) {
-        if next_timer.is_some_and(|due| due < self.set_for.get()) {
-            self.rearm.notify_one();
+        if next_timer.is_some_and(|expiry| expiry < self.wakes_at.get()) {
+            self.rescheduled.notify_one();
         }
     }
 }
@@ -33,18 +33,18 @@
     pub async fn run_timers(self: Rc<Self>) {
         loop {
             let next_timer = self.dispatcher.borrow().next_timer();
-            self.alarm.set_for.set(next_timer.unwrap_or(Micros::MAX));
-            let Some(due) = next_timer else {
-                self.alarm.rearm.notified().await;
+            self.timer_wakeup.wakes_at.set(next_timer.unwrap_or(Micros::MAX));
+            let Some(expiry) = next_timer else {
+                self.timer_wakeup.rescheduled.notified().await;
                 continue;
             };
-            let sleep = tokio::time::sleep_until(self.clock.instant(due).into());
+            let sleep = tokio::time::sleep_until(self.clock.instant(expiry).into());
             tokio::select! {
                 () = sleep => {
                     let now = self.clock.now();
                     self.with_dispatcher(|dispatcher| dispatcher.run_expired_timers(now));
                 }
-                () = self.alarm.rearm.notified() => {}
+                () = self.timer_wakeup.rescheduled.notified() => {}
             }
         }
     }
--- a/crates/sedgerun/src/frontend/http/body.rs
+++ b/crates/sedgerun/src/frontend/http/body.rs
@@ -2,8 +2,8 @@
 
 use super::REQUEST_TIMEOUT;
 use super::error::RequestError;
-use crate::backend::answer::{MemoryBudget, MemoryReservation};
-use crate::backend::http::MOST_BODY;
+use crate::backend::http::MAX_UNRESERVED_BODY_BYTES;
+use crate::backend::{MemoryBudget, MemoryReservation};
 use actix_http::{Payload, Request};
 use bytes::{Bytes, BytesMut};
 use futures_util::StreamExt;
@@ -26,7 +26,7 @@
 
 /// The largest body that is accepted, in bytes.
 pub(super) fn max_body_bytes(budget: &MemoryBudget) -> usize {
-    budget.max_body_bytes().max(MOST_BODY)
+    budget.max_body_bytes().max(MAX_UNRESERVED_BODY_BYTES)
 }
 
 /// Reads a complete request body. A body over 64 KiB reserves memory from `budget`, and is rejected if too
@@ -54,7 +54,7 @@
 
 /// Time limit for a body of the expected length, from the first byte of its request.
 fn time_limit(expected: usize, max: usize) -> Duration {
-    let bytes = max.min(expected.max(MOST_BODY));
+    let bytes = max.min(expected.max(MAX_UNRESERVED_BODY_BYTES));
     REQUEST_TIMEOUT + Duration::from_secs_f64(bytes as f64 / MIN_BODY_BYTES_PER_SECOND)
 }
 
@@ -82,8 +82,9 @@
 impl BodyBuffer<'_> {
     /// Creates a buffer and reserves memory for a body of the expected length.
     fn new(budget: &MemoryBudget, expected: usize) -> Result<BodyBuffer<'_>, RequestError> {
-        let reservation = if expected > MOST_BODY { Some(reserve(budget, expected)?) } else { None };
-        let bytes = BytesMut::with_capacity(expected.min(MOST_BODY));
+        let reservation =
+            if expected > MAX_UNRESERVED_BODY_BYTES { Some(reserve(budget, expected)?) } else { None };
+        let bytes = BytesMut::with_capacity(expected.min(MAX_UNRESERVED_BODY_BYTES));
         Ok(BodyBuffer { budget, bytes, reservation })
     }
 
@@ -91,7 +92,7 @@
     /// with each part.
     fn append(&mut self, chunk: &[u8]) -> Result<(), RequestError> {
         let size = self.bytes.len() + chunk.len();
-        let reserved = self.reservation.as_ref().map_or(MOST_BODY, MemoryReservation::bytes);
+        let reserved = self.reservation.as_ref().map_or(MAX_UNRESERVED_BODY_BYTES, MemoryReservation::bytes);
         if size > reserved {
             let max = max_body_bytes(self.budget);
             if size > max {
--- a/crates/sedgerun/src/frontend/http/handler.rs
+++ b/crates/sedgerun/src/frontend/http/handler.rs
@@ -106,7 +106,7 @@
             .submit(spec, BackendRequest::Http(backend_request))
             .ok_or(RequestError::Rejected { retry_after_seconds: NOT_SUBMITTED_RETRY_SECONDS })?;
         let awaiting_response = connection.map(ConnectionState::await_response);
-        let response = pending.answer().await;
+        let response = pending.final_response().await;
         drop(awaiting_response);
         match response {
             FinalResponse::Served(BackendResponse::Http(body)) => Ok(body),
--- a/crates/sedgerun/src/frontend/ninep/submission.rs
+++ b/crates/sedgerun/src/frontend/ninep/submission.rs
@@ -44,8 +44,8 @@
             .dispatch
             .submit(spec, BackendRequest::Ninep(backend_request))
             .ok_or(NinePError::Rejected { retry_after: NOT_SUBMITTED_RETRY })?;
-        operation.state.request.set(Some(pending.request()));
-        let response = pending.answer().await;
+        operation.state.request.set(Some(pending.id()));
+        let response = pending.final_response().await;
         operation.state.request.set(None);
         match response {
             FinalResponse::Served(BackendResponse::Ninep(message)) => Ok(message),
