--- a/crates/sedgerun/src/frontend/ninep/in_flight.rs
+++ b/crates/sedgerun/src/frontend/ninep/in_flight.rs
@@ -14,12 +14,12 @@
 pub(super) struct OperationState {
     /// The operation's request in the dispatcher; `None` while no request is submitted.
     pub(super) request: Cell<Option<RequestId>>,
-    /// The client has cancelled it.
+    /// The client has cancelled the operation.
     is_cancelled: Cell<bool>,
 }
 
 impl OperationState {
-    /// Whether the client has cancelled it.
+    /// Whether the client has cancelled the operation.
     pub(super) fn is_cancelled(&self) -> bool {
         self.is_cancelled.get()
     }
--- a/crates/sedgerun/src/frontend/ninep/reader.rs
+++ b/crates/sedgerun/src/frontend/ninep/reader.rs
@@ -113,9 +113,9 @@
 /// Reads the rest of a message after its first byte, and returns the message without its length field. `None`
 /// if the connection has ended or the length is invalid.
 async fn read_rest(reader: &mut OwnedReadHalf, first: u8, message_size: u32) -> Option<Vec<u8>> {
-    let mut head = [first, 0, 0, 0];
-    reader.read_exact(&mut head[1..]).await.ok()?;
-    let length = frame_length(head, message_size).ok()?;
+    let mut length_field = [first, 0, 0, 0];
+    reader.read_exact(&mut length_field[1..]).await.ok()?;
+    let length = frame_length(length_field, message_size).ok()?;
     let mut frame = vec![0; length - 4];
     reader.read_exact(&mut frame).await.ok()?;
     Some(frame)
