--- a/crates/sedgerun/src/backend/attempt_started.rs
+++ b/crates/sedgerun/src/backend/attempt_started.rs
@@ -1,11 +1,12 @@
-//! A task-local flag that records the start of an attempt. Connections set it from inside the client libraries; the
-//! dispatch service reads it to decide whether an attempt can be cancelled as unsent.
+//! A task-local flag that records the start of an attempt. Connections set it from inside the client
+//! libraries; the dispatch service reads it to decide whether an attempt can be cancelled as unsent.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Whether an attempt has started, which it does when the first byte of its request is passed to a connection. An
-/// attempt that has not started can be cancelled with the certainty that the backend never ran it.
+/// Whether an attempt has started, which it does when the first byte of its request is passed to a
+/// connection. An attempt that has not started can be cancelled with the certainty that the backend never ran
+/// it.
 #[derive(Clone, Debug, Default)]
 pub struct AttemptStarted(Rc<Cell<bool>>);
 
@@ -15,8 +16,8 @@
 }
 
 impl AttemptStarted {
-    /// Marks the current task's attempt as started. Does nothing in a task that runs no attempt, such as a request to
-    /// discovery.
+    /// Marks the current task's attempt as started. Does nothing in a task that runs no attempt, such as a
+    /// request to discovery.
     pub fn mark() {
         let _ = CURRENT_ATTEMPT.try_with(|started| started.0.set(true));
     }
--- a/crates/sedgerun/src/backend/complete_response_stream.rs
+++ b/crates/sedgerun/src/backend/complete_response_stream.rs
@@ -1,9 +1,9 @@
 //! A backend connection that delivers only complete responses to awc.
 //!
-//! awc treats the first head that it receives as the final one, even a 1xx; it accepts as complete a body that is
-//! truncated by the end of the connection or has no length; and it returns a connection to the idle pool even if
-//! bytes follow the response. Therefore the stream itself reads each response to its end, and then gives awc either
-//! the entire response, serialized again, or an error.
+//! awc treats the first head that it receives as the final one, even a 1xx; it accepts as complete a body
+//! that is truncated by the end of the connection or has no length; and it returns a connection to the idle
+//! pool even if bytes follow the response. Therefore the stream itself reads each response to its end, and
+//! then gives awc either the entire response, serialized again, or an error.
 
 use super::AttemptStarted;
 use super::memory_budget::MemoryBudget;
@@ -44,8 +44,8 @@
 }
 
 impl CompleteResponseStream {
-    /// Wraps a connection. Response bodies are limited by `budget`; messages and payload bytes are counted in `traffic`
-    /// if given.
+    /// Wraps a connection. Response bodies are limited by `budget`; messages and payload bytes are counted in
+    /// `traffic` if given.
     pub fn new(
         stream: TcpStream,
         budget: MemoryBudget,
@@ -63,7 +63,8 @@
         }
     }
 
-    /// Reads available bytes into `received` and returns their number, which is 0 at the end of the connection.
+    /// Reads available bytes into `received` and returns their number, which is 0 at the end of the
+    /// connection.
     fn poll_receive(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<usize>> {
         let mut bytes = [0; READ_BYTES];
         let mut buf = ReadBuf::new(&mut bytes);
@@ -75,8 +76,8 @@
         Poll::Ready(Ok(buf.filled().len()))
     }
 
-    /// Reads the response to the request in flight and serializes it once it is complete. Returns at once if no
-    /// request is in flight, or if awc has not read all of the previous response.
+    /// Reads the response to the request in flight and serializes it once it is complete. Returns at once if
+    /// no request is in flight, or if awc has not read all of the previous response.
     fn poll_response(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         while let (false, Some(reader)) = (self.unread.has_remaining(), &mut self.reader) {
             if let Some(response) = reader.read(&mut self.received)? {
@@ -110,8 +111,8 @@
     }
 }
 
-/// Serializes a response with the forwarded headers and a `Content-Length`. `closes` is set if the backend closes the
-/// connection or if bytes follow the response: no request is in flight that they could belong to.
+/// Serializes a response with the forwarded headers and a `Content-Length`. `closes` is set if the backend
+/// closes the connection or if bytes follow the response: no request is in flight that they could belong to.
 fn serialize_response(response: CompleteResponse, closes: bool) -> Chain<BytesMut, BytesMut> {
     let CompleteResponse { head, body } = response;
     let mut text = format!("HTTP/1.1 {}\r\n", head.status.as_u16());
@@ -139,7 +140,8 @@
         let this = self.get_mut();
         ready!(this.poll_response(cx))?;
         if !this.unread.has_remaining() {
-            // No request is in flight: any bytes are passed on unchanged, which makes awc drop the connection.
+            // No request is in flight: any bytes are passed on unchanged, which makes awc drop the
+            // connection.
             return Pin::new(&mut this.stream).poll_read(cx, buf);
         }
         this.copy_unread(buf);
--- a/crates/sedgerun/src/backend/http/client.rs
+++ b/crates/sedgerun/src/backend/http/client.rs
@@ -20,8 +20,8 @@
 pub(super) const EMFILE: i32 = 24;
 /// `errno` when the system has reached its limit of open files.
 pub(super) const ENFILE: i32 = 23;
-/// The fraction of a backend's idle timeout for which an idle connection may be reused. A request written while the
-/// backend closes the connection would be reset.
+/// The fraction of a backend's idle timeout for which an idle connection may be reused. A request written
+/// while the backend closes the connection would be reset.
 const USABLE_IDLE_FRACTION: f64 = 0.6;
 /// The maximum age of a connection.
 const CONNECTION_LIFETIME: Duration = Duration::from_secs(24 * 3600);
@@ -35,8 +35,9 @@
     pub idle: Duration,
 }
 
-/// Creates a client without a request queue, redirects or a request timeout; the caller enforces deadlines. It opens a
-/// connection only while at least `min_descriptors` are available, and counts payload in `traffic` if given.
+/// Creates a client without a request queue, redirects or a request timeout; the caller enforces deadlines.
+/// It opens a connection only while at least `min_descriptors` are available, and counts payload in `traffic`
+/// if given.
 pub fn client(
     timeouts: ConnectionTimeouts,
     budget: &MemoryBudget,
@@ -45,8 +46,8 @@
     traffic: Option<Arc<Traffic>>,
 ) -> Client {
     let (budget, descriptors) = (budget.clone(), descriptors.clone());
-    // awc leaves Nagle's algorithm on. The connector disables it, because the last segment of a large write would
-    // otherwise wait for an acknowledgement that the backend delays.
+    // awc leaves Nagle's algorithm on. The connector disables it, because the last segment of a large write
+    // would otherwise wait for an acknowledgement that the backend delays.
     let connect = TcpConnector::new(Resolver::default()).service();
     type Target = ConnectInfo<Uri>;
     let connect =
--- a/crates/sedgerun/src/backend/http/mod.rs
+++ b/crates/sedgerun/src/backend/http/mod.rs
@@ -1,7 +1,8 @@
 //! Attempts over HTTP/1.1, with awc.
 //!
-//! [`HttpBackend`] owns one client, with its own connection pool, for each address. An attempt is one request and one
-//! response. This module neither retries nor enforces deadlines: the caller drops the future to cancel an attempt.
+//! [`HttpBackend`] owns one client, with its own connection pool, for each address. An attempt is one request
+//! and one response. This module neither retries nor enforces deadlines: the caller drops the future to
+//! cancel an attempt.
 
 mod client;
 mod response;
@@ -45,20 +46,22 @@
     pub body_reservation: Option<MemoryReservation>,
 }
 
-/// The HTTP client for all backends. It keeps a client with its own connection pool for each address, so that removing
-/// a backend also closes its connections.
+/// The HTTP client for all backends. It keeps a client with its own connection pool for each address, so that
+/// removing a backend also closes its connections.
 pub struct HttpBackend {
     clients: RefCell<ClientPool<Client>>,
     timeouts: ConnectionTimeouts,
     budget: MemoryBudget,
     descriptors: Descriptors,
-    /// If no more descriptors than this are available, a client for a new address replaces the least recently used.
+    /// If no more descriptors than this are available, a client for a new address replaces the least recently
+    /// used.
     spare_descriptors: usize,
 }
 
 impl HttpBackend {
-    /// Creates a client; `budget` limits the memory for response bodies. Once no more than `spare_descriptors` are
-    /// available, the client for a new address replaces the least recently used one, whose idle connections close.
+    /// Creates a client; `budget` limits the memory for response bodies. Once no more than
+    /// `spare_descriptors` are available, the client for a new address replaces the least recently used one,
+    /// whose idle connections close.
     pub fn new(
         timeouts: ConnectionTimeouts,
         budget: MemoryBudget,
@@ -73,7 +76,8 @@
         self.clients.borrow_mut().clear();
     }
 
-    /// Removes the client of an address: idle connections close now, connections in use when their attempts end.
+    /// Removes the client of an address: idle connections close now, connections in use when their attempts
+    /// end.
     pub fn remove_client(&self, address: SocketAddr) {
         self.clients.borrow_mut().remove(address);
     }
@@ -88,8 +92,9 @@
         if let Some(client) = clients.get(address) {
             return client;
         }
-        // With more backends than descriptors, removing one client at a time keeps most connections reusable. If the
-        // descriptors ran out, all idle connections would be closed at once, again and again, and hardly any reused.
+        // With more backends than descriptors, removing one client at a time keeps most connections reusable.
+        // If the descriptors ran out, all idle connections would be closed at once, again and again, and
+        // hardly any reused.
         if self.descriptors.available() <= self.spare_descriptors {
             clients.remove_least_recent();
         }
@@ -98,8 +103,8 @@
         client
     }
 
-    /// Makes one attempt and sends `time_left` to the backend as `Request-Timeout-Ms`. Dropping the future closes the
-    /// attempt's connection.
+    /// Makes one attempt and sends `time_left` to the backend as `Request-Timeout-Ms`. Dropping the future
+    /// closes the attempt's connection.
     pub async fn attempt(
         &self,
         address: SocketAddr,
--- a/crates/sedgerun/src/backend/http/response.rs
+++ b/crates/sedgerun/src/backend/http/response.rs
@@ -16,7 +16,8 @@
 /// The largest value that a backend can report: the simulator's protocol encodes it in 16 bits.
 const MAX_REPORTED_VALUE: f64 = 65_535.0;
 
-/// The length of a response body in bytes. `CompleteResponseStream` has set the header and received the entire body.
+/// The length of a response body in bytes. `CompleteResponseStream` has set the header and received the
+/// entire body.
 pub fn content_length(headers: &HeaderMap) -> usize {
     let length = headers.get(CONTENT_LENGTH).and_then(|length| length.to_str().ok()?.parse().ok());
     length.unwrap_or(0)
@@ -39,7 +40,8 @@
     }
 }
 
-/// A number in a response header. A malformed or out-of-range value is ignored; the rest of the response is still used.
+/// A number in a response header. A malformed or out-of-range value is ignored; the rest of the response is
+/// still used.
 fn reported_value(headers: &HeaderMap, name: &str) -> Option<f64> {
     let value: f64 = headers.get(name)?.to_str().ok()?.trim().parse().ok()?;
     (0.0..=MAX_REPORTED_VALUE).contains(&value).then_some(value)
@@ -61,9 +63,9 @@
 
 /// Returns a response's connection to awc's pool after [`REUSE_DELAY`].
 ///
-/// Some backends close the connection right after a response. A write sent before the close is detected fails, although
-/// the backend may have run it. awc reuses a connection once the body has been read to its end, so the end of the body
-/// is read only after the delay.
+/// Some backends close the connection right after a response. A write sent before the close is detected
+/// fails, although the backend may have run it. awc reuses a connection once the body has been read to its
+/// end, so the end of the body is read only after the delay.
 pub(super) fn release_after_delay<S>(mut response: ClientResponse<S>)
 where
     ClientResponse<S>: Stream<Item = Result<Bytes, PayloadError>> + Unpin + 'static,
@@ -84,9 +86,10 @@
     }
 }
 
-/// How an attempt ended, by awc's error. The request has certainly not run only if the connection was never established
-/// or the kernel did not accept the request's last byte. awc reports a connection that ends before its response as
-/// `Connect(Disconnected)`: that connection was established and the request was written.
+/// How an attempt ended, by awc's error. The request has certainly not run only if the connection was never
+/// established or the kernel did not accept the request's last byte. awc reports a connection that ends
+/// before its response as `Connect(Disconnected)`: that connection was established and the request was
+/// written.
 pub(super) fn attempt_end_of_error(error: &SendRequestError) -> AttemptEnd {
     match error {
         SendRequestError::Connect(ConnectError::Disconnected) => AttemptEnd::Reset,
--- a/crates/sedgerun/src/backend/memory_budget.rs
+++ b/crates/sedgerun/src/backend/memory_budget.rs
@@ -1,16 +1,17 @@
 //! Limits the memory that request and response bodies may use.
 //!
-//! All readers of one kind of body share a [`MemoryBudget`]. Each body holds a [`MemoryReservation`], which releases its
-//! bytes when it is dropped. Reservations never wait: a body that does not fit is rejected at once.
+//! All readers of one kind of body share a [`MemoryBudget`]. Each body holds a [`MemoryReservation`], which
+//! releases its bytes when it is dropped. Reservations never wait: a body that does not fit is rejected at
+//! once.
 
 use std::cell::Cell;
 use std::io;
 use std::rc::Rc;
 use thiserror::Error;
 
-/// A limit on the total size of bodies and on the size of each one, in bytes. One budget covers responses (a response
-/// in a class that the settings describe as small can still be large: backends send 400 KB on some days), another one
-/// requests over 64 KiB.
+/// A limit on the total size of bodies and on the size of each one, in bytes. One budget covers responses (a
+/// response in a class that the settings describe as small can still be large: backends send 400 KB on some
+/// days), another one requests over 64 KiB.
 #[derive(Clone, Debug)]
 pub struct MemoryBudget {
     available_bytes: Rc<Cell<usize>>,
@@ -28,7 +29,8 @@
         self.max_body_bytes
     }
 
-    /// Reserves memory for one body; `None` if that many bytes are not available now or exceed the limit of one body.
+    /// Reserves memory for one body; `None` if that many bytes are not available now or exceed the limit of
+    /// one body.
     pub fn reserve(&self, bytes: usize) -> Option<MemoryReservation> {
         let mut reservation = self.empty_reservation();
         reservation.grow(bytes as u64).ok().map(|()| reservation)
@@ -57,8 +59,9 @@
     ///
     /// # Errors
     ///
-    /// An [`io::Error`] of the kind `InvalidData`. Its source is [`BodyTooLarge`] if the body would exceed the limit of
-    /// one body, and another error if the bytes are not available now. The reservation is unchanged.
+    /// An [`io::Error`] of the kind `InvalidData`. Its inner error is [`BodyTooLarge`] if the body would
+    /// exceed the limit of one body, and another error if the bytes are not available now. The reservation is
+    /// unchanged.
     pub fn grow(&mut self, bytes: u64) -> io::Result<()> {
         let bytes = usize::try_from(bytes).unwrap_or(usize::MAX);
         let max_bytes = self.budget.max_body_bytes;
@@ -82,7 +85,8 @@
     }
 }
 
-/// A body exceeds the limit of one body. Returned as the source of an [`io::Error`] of the kind `InvalidData`.
+/// A body exceeds the limit of one body. Returned as the inner error of an [`io::Error`] of the kind
+/// `InvalidData`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("body of at least {bytes} bytes exceeds the limit of {max_bytes} bytes")]
 pub struct BodyTooLarge {
--- a/crates/sedgerun/src/backend/mod.rs
+++ b/crates/sedgerun/src/backend/mod.rs
@@ -1,7 +1,7 @@
 //! Backend clients: make attempts at backends, each over the protocol of its request.
 //!
-//! [`Backends`] owns the clients of both protocols and the names and addresses of the backends. The dispatcher selects
-//! the backend of an attempt and decides on retries.
+//! [`Backends`] owns the clients of both protocols and the names and addresses of the backends. The
+//! dispatcher selects the backend of an attempt and decides on retries.
 
 mod attempt_started;
 mod backend_names;
@@ -68,7 +68,8 @@
         &self.descriptors
     }
 
-    /// Sets or clears a backend's HTTP address. If the address changes, idle connections to the previous one are closed.
+    /// Sets or clears a backend's HTTP address. If the address changes, idle connections to the previous one
+    /// are closed.
     pub fn set_address(&self, backend: BackendId, address: Option<SocketAddr>) {
         let previous = match address {
             Some(address) => self.addresses.borrow_mut().insert(backend, address),
@@ -79,15 +80,15 @@
         }
     }
 
-    /// Removes a backend. If its name is used again, it gets a new id. 9P backends are listed in the operator's file and
-    /// are never removed.
+    /// Removes a backend. If its name is used again, it gets a new id. 9P backends are listed in the
+    /// operator's file and are never removed.
     pub fn remove(&self, backend: BackendId) {
         self.set_address(backend, None);
         self.names.remove(backend);
     }
 
-    /// Makes an attempt whose deadline is `time_left` from now; `None` if the backend has no address for the request's
-    /// protocol.
+    /// Makes an attempt whose deadline is `time_left` from now; `None` if the backend has no address for the
+    /// request's protocol.
     pub async fn attempt(
         &self,
         backend: BackendId,
--- a/crates/sedgerun/src/backend/ninep/connection.rs
+++ b/crates/sedgerun/src/backend/ninep/connection.rs
@@ -1,7 +1,7 @@
 //! A connection to a 9P backend, shared by all attempts at it: calls, responses, flushes and close.
 //!
-//! Two tasks serve a connection: one writes queued frames, the other delivers responses. Both end with the connection.
-//! This module only exchanges messages; [`super::operation`] composes operations of them.
+//! Two tasks serve a connection: one writes queued frames, the other delivers responses. Both end with the
+//! connection. This module only exchanges messages; [`super::operation`] composes operations of them.
 
 use super::fids::{FidGuard, FidTable};
 use super::in_flight::InFlightTags;
@@ -124,7 +124,7 @@
 
     /// Sends a message and waits for its response. Dropping the future sends a `Tflush` for the message.
     pub(super) async fn call(&self, message: Message) -> Result<Message, ConnectionLost> {
-        self.call_with_tag(self.allocate_tag()?, message).await
+        self.call_with_tag(self.next_free_tag()?, message).await
     }
 
     async fn call_with_tag(&self, tag: u16, message: Message) -> Result<Message, ConnectionLost> {
@@ -144,7 +144,7 @@
 
     /// Sends a `Tflush` for a call whose caller has been dropped.
     fn flush(&self, flushed_tag: u16) {
-        let Ok(tag) = self.allocate_tag() else { return };
+        let Ok(tag) = self.next_free_tag() else { return };
         let mut in_flight = self.in_flight.borrow_mut();
         in_flight.cancel(flushed_tag);
         if self.send(tag, &Message::Tflush { oldtag: flushed_tag }) {
@@ -152,12 +152,12 @@
         }
     }
 
-    /// Sends a `Tclunk` for each stale fid of earlier attempts. This is called at the start of an attempt, so that a
-    /// backend that receives no new attempts receives no clunks either.
+    /// Sends a `Tclunk` for each stale fid of earlier attempts. This is called at the start of an attempt, so
+    /// that a backend that receives no new attempts receives no clunks either.
     pub(super) fn clunk_stale(&self) {
         let stale = self.fids.borrow_mut().take_stale();
         for fid in stale {
-            let Ok(tag) = self.allocate_tag() else { return };
+            let Ok(tag) = self.next_free_tag() else { return };
             if self.send(tag, &Message::Tclunk { fid }) {
                 // Recorded as a flush of its own tag: any response frees the tag.
                 self.in_flight.borrow_mut().insert_flush(tag, tag);
@@ -165,7 +165,7 @@
         }
     }
 
-    fn allocate_tag(&self) -> Result<u16, ConnectionLost> {
+    fn next_free_tag(&self) -> Result<u16, ConnectionLost> {
         self.in_flight.borrow_mut().next_free().ok_or(ConnectionLost)
     }
 
@@ -184,8 +184,8 @@
     }
 }
 
-/// Delivers responses until the connection is dropped. Closes the connection at the end of the socket's stream or after
-/// a malformed message.
+/// Delivers responses until the connection is dropped. Closes the connection at the end of the socket's
+/// stream or after a malformed message.
 async fn deliver_responses(mut read_half: OwnedReadHalf, connection: Weak<Connection>) {
     while let Ok((tag, message)) = read_message(&mut read_half).await {
         let Some(connection) = connection.upgrade() else { return };
--- a/crates/sedgerun/src/backend/ninep/files.rs
+++ b/crates/sedgerun/src/backend/ninep/files.rs
@@ -1,4 +1,5 @@
-//! Maps a client's path to a fid on a connection: attaches trees, walks paths and reopens a client's open files.
+//! Maps a client's path to a fid on a connection: attaches trees, walks paths and reopens a client's open
+//! files.
 //!
 //! An attempt walks from the backend's root and so needs no state of earlier attempts.
 
@@ -11,7 +12,8 @@
 pub(super) enum OperationStopped {
     /// The connection was lost.
     ConnectionLost,
-    /// The backend's response to an earlier step, such as an error, which becomes the response to the operation.
+    /// The backend's response to an earlier step, such as an error, which becomes the response to the
+    /// operation.
     Response(Message),
 }
 
@@ -68,8 +70,8 @@
     Ok(file)
 }
 
-/// The fid cached for a client's open file. If there is none, the file is opened again, without truncating it; a
-/// directory is then read up to the client's offset.
+/// The fid cached for a client's open file. If there is none, the file is opened again, without truncating
+/// it; a directory is then read up to the client's offset.
 pub(super) async fn resume(
     connection: &Connection,
     request: &NinePBackendRequest,
--- a/crates/sedgerun/src/backend/ninep/mod.rs
+++ b/crates/sedgerun/src/backend/ninep/mod.rs
@@ -1,7 +1,7 @@
 //! Attempts over 9P. All attempts at a backend share one connection; each uses its own tags and fids.
 //!
-//! An attempt walks from the backend's root and so needs no state of earlier attempts. After it has opened a file, the
-//! fid is cached under the client's handle, and later attempts at the same backend reuse it.
+//! An attempt walks from the backend's root and so needs no state of earlier attempts. After it has opened a
+//! file, the fid is cached under the client's handle, and later attempts at the same backend reuse it.
 
 mod connection;
 mod fids;
@@ -38,8 +38,8 @@
 }
 
 impl NinePBackend {
-    /// Creates a client with no backend known yet. `connect_timeout` limits opening a connection, including version
-    /// negotiation.
+    /// Creates a client with no backend known yet. `connect_timeout` limits opening a connection, including
+    /// version negotiation.
     pub fn new(connect_timeout: Duration, descriptors: Descriptors) -> NinePBackend {
         NinePBackend {
             addresses: RefCell::default(),
@@ -49,8 +49,8 @@
         }
     }
 
-    /// The connection to a backend, which is opened if there is no usable one. Concurrent attempts wait for the attempt
-    /// that opens it.
+    /// The connection to a backend, which is opened if there is no usable one. Concurrent attempts wait for
+    /// the attempt that opens it.
     async fn connection(
         &self,
         backend: BackendId,
@@ -99,8 +99,8 @@
         }
     }
 
-    /// Releases the fids cached for a client's file, which the client has closed. Each backend receives the `Tclunk` with
-    /// its next attempt.
+    /// Releases the fids cached for a client's file, which the client has closed. Each backend receives the
+    /// `Tclunk` with its next attempt.
     pub fn release(&self, handle: u64) {
         for shared in self.connections.borrow().values() {
             let Ok(current) = shared.try_lock() else { continue };
--- a/crates/sedgerun/src/backend/response_reader.rs
+++ b/crates/sedgerun/src/backend/response_reader.rs
@@ -1,6 +1,8 @@
-//! Parses one complete HTTP/1.1 response from the bytes of a backend connection, or returns why it is invalid.
+//! Parses one complete HTTP/1.1 response from the bytes of a backend connection, or returns why it is
+//! invalid.
 //!
-//! The parser does no I/O: its owner passes it the received bytes. A [`MemoryReservation`] accounts for the body.
+//! The parser does no I/O: its owner passes it the received bytes. A [`MemoryReservation`] accounts for the
+//! body.
 
 use super::memory_budget::{MemoryBudget, MemoryReservation};
 use actix_codec::Decoder;
@@ -155,8 +157,8 @@
     let length = head.headers.get(header::CONTENT_LENGTH);
     let length = length.and_then(|value| value.to_str().ok()?.trim().parse::<u64>().ok());
     let is_chunked = head.headers.contains_key(header::TRANSFER_ENCODING);
-    // Rejects a body that only the end of the connection would delimit, and one with both a `Content-Length` and
-    // chunked encoding: neither can be distinguished from a truncated body.
+    // Rejects a body that only the end of the connection would delimit, and one with both a `Content-Length`
+    // and chunked encoding: neither can be distinguished from a truncated body.
     if length.is_some() == is_chunked {
         return Err(InvalidResponse::AmbiguousLength);
     }
--- a/crates/sedgerun/src/dispatch_service/effects.rs
+++ b/crates/sedgerun/src/dispatch_service/effects.rs
@@ -8,8 +8,8 @@
 use std::rc::Rc;
 
 impl DispatchService {
-    /// Applies the dispatcher's effects in order. Effects that arise while one is applied are queued and applied by the
-    /// outer call.
+    /// Applies the dispatcher's effects in order. Effects that arise while one is applied are queued and
+    /// applied by the outer call.
     pub(super) fn apply_effects(self: &Rc<Self>) {
         if self.is_applying_effects.replace(true) {
             return;
--- a/crates/sedgerun/src/dispatch_service/mod.rs
+++ b/crates/sedgerun/src/dispatch_service/mod.rs
@@ -1,12 +1,13 @@
-//! Connects front ends and backends: runs the dispatcher of `sedgerun-dispatch` with real sockets and a real clock.
+//! Connects front ends and backends: runs the dispatcher of `sedgerun-dispatch` with real sockets and a real
+//! clock.
 //!
-//! A process has one [`DispatchService`], which all tasks of its single thread share. It owns the dispatcher, the tasks
-//! of attempts in flight, the senders of final responses and the operators' overrides. Each method that passes an
-//! event to the dispatcher also applies the resulting effects before it returns.
+//! A process has one [`DispatchService`], which all tasks of its single thread share. It owns the dispatcher,
+//! the tasks of attempts in flight, the senders of final responses and the operators' overrides. Each method
+//! that passes an event to the dispatcher also applies the resulting effects before it returns.
 //!
-//! This module accepts requests and events, `effects` applies the dispatcher's effects, `attempts` holds the tasks of
-//! attempts, `pending_request` is the client's side of a request, `overrides` disables and enables backends, and
-//! `timers` runs the dispatcher's timers.
+//! This module accepts requests and events, `effects` applies the dispatcher's effects, `attempts` holds the
+//! tasks of attempts, `pending_request` is the client's side of a request, `overrides` disables and enables
+//! backends, and `timers` runs the dispatcher's timers.
 
 mod attempts;
 mod effects;
@@ -39,7 +40,7 @@
     clock: Clock,
     dispatcher: RefCell<Dispatcher<BackendRequest, BackendResponse>>,
     backends: Backends,
-    /// The requests without a final response.
+    /// The requests whose clients wait for a final response.
     open_requests: RefCell<HashMap<RequestId, OpenRequest>>,
     attempts: AttemptTasks,
     overrides: RefCell<BackendOverrides>,
@@ -97,8 +98,8 @@
     }
 
     /// Sets the time by which all requests receive a final response, for a graceful shutdown.
-    pub fn set_shutdown_deadline(&self, at: Micros) {
-        self.dispatcher.borrow_mut().set_shutdown_deadline(at);
+    pub fn set_shutdown_deadline(&self, deadline: Micros) {
+        self.dispatcher.borrow_mut().set_shutdown_deadline(deadline);
     }
 
     /// Submits a request; `None` if the limit of open requests is reached.
@@ -126,15 +127,16 @@
         self.with_dispatcher(|dispatcher| dispatcher.attempt_ended(now, id, attempt, result));
     }
 
-    /// Cancels a request for its client. The client still receives the response of an attempt in flight; no further
-    /// attempt starts.
+    /// Cancels a request for its client. The client still receives the response of an attempt in flight; no
+    /// further attempt starts.
     pub fn cancel(self: &Rc<Self>, id: RequestId) {
         let now = self.clock.now();
         self.with_dispatcher(|dispatcher| dispatcher.cancel(now, id));
         self.cancel_unsent(|key, _| key.id == id);
     }
 
-    /// Applies an update of the endpoint list. Backends that operators have disabled are passed on as draining.
+    /// Applies an update of the endpoint list. Backends that operators have disabled are passed on as
+    /// draining.
     pub fn update_endpoints(self: &Rc<Self>, scope: UpdateScope, endpoints: Vec<Endpoint>) {
         let now = self.clock.now();
         let endpoints = self.overrides.borrow_mut().filter(scope, endpoints);
@@ -146,15 +148,15 @@
         self.watch_request.notified().await;
     }
 
-    /// Discards a pending request for a subscription. A request from before a failed poll would otherwise cut short the
-    /// backoff after it.
+    /// Discards a pending request for a subscription. A request from before a failed poll would otherwise cut
+    /// short the backoff after it.
     pub fn discard_watch_request(&self) {
         let _ = self.watch_request.notified().now_or_never();
     }
 
-    /// Passes an update of the endpoint list, with the overrides applied, to the controller. Attempts at backends that no
-    /// longer accept requests are cancelled if nothing of them has been written yet: their connection might be
-    /// established long after the grace period.
+    /// Passes an update of the endpoint list, with the overrides applied, to the controller. Attempts at
+    /// backends that no longer accept requests are cancelled if nothing of them has been written yet: their
+    /// connection might be established long after the grace period.
     fn notify_controller(self: &Rc<Self>, now: Micros, scope: UpdateScope, endpoints: Vec<Endpoint>) {
         let is_ready: BTreeMap<BackendId, bool> = endpoints
             .iter()
--- a/crates/sedgerun/src/dispatch_service/overrides.rs
+++ b/crates/sedgerun/src/dispatch_service/overrides.rs
@@ -1,5 +1,5 @@
-//! Backends that operators disable at this head or through the cluster. The controller is notified of each change at
-//! once.
+//! Backends that operators disable at this head or through the cluster. The controller is notified of each
+//! change at once.
 
 use super::DispatchService;
 use sedgerun_dispatch::OverrideError;
--- a/crates/sedgerun/src/dispatch_service/pending_request.rs
+++ b/crates/sedgerun/src/dispatch_service/pending_request.rs
@@ -15,7 +15,8 @@
     pub response_sender: oneshot::Sender<FinalResponse<BackendResponse>>,
 }
 
-/// An open request. Dropping it before the final response notifies the dispatcher that the client has disconnected.
+/// An open request. Dropping it before the final response notifies the dispatcher that the client has
+/// disconnected.
 pub struct PendingRequest {
     service: Rc<DispatchService>,
     id: RequestId,
@@ -54,8 +55,8 @@
 }
 
 impl DispatchService {
-    /// Notifies the dispatcher that the client of a request has disconnected. Attempts of which nothing has been written
-    /// are cancelled.
+    /// Notifies the dispatcher that the client of a request has disconnected. Attempts of which nothing has
+    /// been written are cancelled.
     fn disconnect(self: &Rc<Self>, id: RequestId) {
         self.open_requests.borrow_mut().remove(&id);
         let now = self.clock.now();
