--- a/crates/sedgerun/src/backend/complete_response_stream.rs
+++ b/crates/sedgerun/src/backend/complete_response_stream.rs
@@ -21,7 +21,7 @@
 use std::sync::Arc;
 use std::task::{Context, Poll, ready};
 
-/// Size of one read from the connection, in bytes.
+/// The largest number of bytes read from the connection at once.
 const READ_BYTES: usize = 4 * 1024;
 /// The response headers that are passed on to awc; all others are dropped.
 pub const FORWARDED_HEADERS: [&str; 3] = ["Not-Started", "X-Iops-Used", "X-Rho"];
--- a/crates/sedgerun/src/backend/http/response.rs
+++ b/crates/sedgerun/src/backend/http/response.rs
@@ -25,7 +25,7 @@
 
 /// The load that a backend reports in the headers of a response.
 pub(super) struct LoadReport {
-    /// The volume's usage across all backends, as a multiple of its plan's rate.
+    /// The volume's load at all heads, as a multiple of its plan's rate; `None` if not reported.
     pub(super) volume_usage: Option<f64>,
     /// Units that the backend has served for the volume through other heads.
     pub(super) units_elsewhere: f64,
@@ -63,8 +63,8 @@
 
 /// Returns a response's connection to awc's pool after [`REUSE_DELAY`].
 ///
-/// Some backends close the connection right after a response. A write sent before the close is detected
-/// fails, although the backend may have run it. awc reuses a connection once the body has been read to its
+/// Some backends close the connection right after a response. A write that is sent on it before this head
+/// detects the close fails, and may or may not have run. awc reuses a connection once the body has been read to its
 /// end, so the end of the body is read only after the delay.
 pub(super) fn release_after_delay<S>(mut response: ClientResponse<S>)
 where
